--- a/src/mastweir/sidecar/answers.rs
+++ b/src/mastweir/sidecar/answers.rs
@@ -108,6 +108,10 @@
 
     /// Takes an answer in; the whole, if it was the last. Gives it back if it is for
     /// nothing that is gathered.
+    ///
+    /// # Errors
+    ///
+    /// The report, if no poll that is being gathered has its number and group.
     pub fn add(
         &mut self,
         from: IpAddr,
