--- a/crates/mastweir-core/src/experts/layers.rs
+++ b/crates/mastweir-core/src/experts/layers.rs
@@ -19,7 +19,7 @@
     Work,
     layer_set::{self, Move, Room, Set, Step},
 };
-use crate::switch::hold::GroupMap;
+use crate::switch::map_change::GroupMap;
 
 /// Bounds and weights of plans.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/mastweir-core/src/switch/coordinator.rs
+++ b/crates/mastweir-core/src/switch/coordinator.rs
@@ -7,7 +7,7 @@
 //!
 //! These ranks are ours: they keep the promise of a cap, and refuse earlier epochs and
 //! rounds. Ranks that take plain orders, perhaps late, and check no token, are changed by
-//! [`hold`](super::hold), which may rest on none of that.
+//! [`map_change`](super::map_change), which may rest on none of that.
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 
--- a/crates/mastweir-core/src/switch/hold.rs
+++ b/crates/mastweir-core/src/switch/map_change.rs
@@ -36,7 +36,7 @@
 use std::sync::Arc;
 
 /// Experts of one rank, by set.
-pub type Layers = Vec<Vec<u16>>;
+pub type RankExperts = Vec<Vec<u16>>;
 /// Experts by set and rank.
 pub type GroupMap = Vec<Vec<Vec<u16>>>;
 
@@ -71,7 +71,7 @@
     /// The last pass begun.
     pub pass: u64,
     /// Orders taken.
-    pub taken: u64,
+    pub order_seq: u64,
     /// Version of the map in force.
     pub map: u64,
     /// Version of the map that is loaded besides, once it is whole.
@@ -90,13 +90,13 @@
     }
 
     /// Whether it has had a newer version, so that it takes this one no more.
-    fn is_beyond(&self, version: u64) -> bool {
+    fn has_newer(&self, version: u64) -> bool {
         let scheduled = self.scheduled.map(|(scheduled, _)| scheduled);
         self.map > version || self.loaded.max(scheduled) > Some(version)
     }
 
     /// Token of the coordinator whose map it has loaded or scheduled.
-    fn changed_by(&self) -> Option<u64> {
+    fn change_token(&self) -> Option<u64> {
         let scheduled = self.scheduled.map(|(scheduled, _)| scheduled);
         self.loaded.max(scheduled).map(owner)
     }
@@ -143,7 +143,7 @@
     /// Token of the coordinator.
     pub token: u64,
     /// Orders that the rank had taken.
-    pub taken: u64,
+    pub order_seq: u64,
     /// Life of the group.
     pub epoch: u64,
     /// What to do.
@@ -152,9 +152,9 @@
 
 /// What a rank made of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
+pub enum OrderOutcome {
     /// It holds, or has begun.
-    Yes,
+    Accepted,
     /// It does not fit the rank's state.
     Conflict,
     /// A coordinator with a higher token was there.
@@ -163,7 +163,7 @@
 
 /// A map that a coordinator wants in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct TargetMap {
     /// Its version, above all that the ranks had.
     pub version: u64,
     /// The map.
@@ -172,19 +172,19 @@
 
 /// What to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// Orders by rank.
     Orders(Vec<(usize, OrderKind)>),
     /// The group is paused and nothing is wanted: want something, if only the
     /// map in force under a new version.
-    Want,
+    NeedTarget,
     /// Nothing; look again later.
     Wait,
 }
 
 /// A group, as its coordinator sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct GroupSnapshot<'a> {
     /// States of all ranks, in order; none where a rank can't be reached.
     pub ranks: &'a [Option<RankState>],
     /// The coordinator's own rank.
@@ -195,10 +195,10 @@
     pub predecessor: Option<usize>,
     /// Passes between the last one begun and the one before which the group is
     /// paused: as many as the orders to all ranks take, so that it does not stand.
-    pub ahead: u64,
+    pub lookahead: u64,
 }
 
-impl View<'_> {
+impl GroupSnapshot<'_> {
     fn known(&self) -> impl Iterator<Item = (usize, &RankState)> {
         self.ranks.iter().enumerate().filter_map(|(at, rank)| Some((at, rank.as_ref()?)))
     }
@@ -208,26 +208,26 @@
     }
 
     /// Whether all that is known is of one life of a group that makes passes.
-    fn is_one_life(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let Some((_, first)) = self.known().next() else { return false };
         let same = |rank: &RankState| rank.epoch == first.epoch && rank.open;
         self.ranks.len() == first.size as usize && self.all(same)
     }
 
     /// Whether every rank is known.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.ranks.iter().all(Option::is_some)
     }
 
     /// Whether only the predecessor's rank is not known.
-    fn lacks_predecessor(&self) -> bool {
+    fn misses_only_predecessor(&self) -> bool {
         let missing: Vec<usize> =
             (0..self.ranks.len()).filter(|at| self.ranks[*at].is_none()).collect();
         missing.len() == 1 && missing.first().copied() == self.predecessor
     }
 
     /// The rank at which a coordinator pauses the group for its own change.
-    const fn behind(&self, own: usize) -> usize {
+    const fn next_rank(&self, own: usize) -> usize {
         (own + 1) % self.ranks.len()
     }
 
@@ -235,142 +235,143 @@
     /// then no older map is or comes to be scheduled at the predecessor's rank.
     fn is_paused_by(&self, predecessor: usize) -> bool {
         let mut paused = self.known().filter(|(_, rank)| rank.paused.is_some());
-        let is_its = |(at, rank): (usize, &RankState)| {
-            at == self.behind(predecessor) && rank.changed_by() >= Some(self.token - 1)
+        let is_predecessors = |(at, rank): (usize, &RankState)| {
+            at == self.next_rank(predecessor) && rank.change_token() >= Some(self.token - 1)
         };
         // Of two ranks, the one behind the next is the same.
-        self.ranks.len() > 2 && paused.all(is_its)
+        self.ranks.len() > 2 && paused.all(is_predecessors)
     }
 
-    fn each(&self, order: impl Fn(usize, &RankState) -> Option<OrderKind>) -> Act {
+    fn order_each(&self, order: impl Fn(usize, &RankState) -> Option<OrderKind>) -> Action {
         let orders: Vec<(usize, OrderKind)> =
             self.known().filter_map(|(at, rank)| Some((at, order(at, rank)?))).collect();
-        if orders.is_empty() { Act::Wait } else { Act::Orders(orders) }
+        if orders.is_empty() { Action::Wait } else { Action::Orders(orders) }
     }
 }
 
 /// Decides the next orders.
-pub fn decide(view: View<'_>, wanted: Option<&Wanted>) -> Act {
-    if !view.is_one_life() {
-        return Act::Wait;
+pub fn decide(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
+    if !group.is_consistent() {
+        return Action::Wait;
     }
-    let paused = view.known().filter_map(|(_, rank)| rank.paused).max();
-    let scheduled = view.known().filter_map(|(_, rank)| rank.scheduled).max();
-    if !view.is_whole() {
+    let paused = group.known().filter_map(|(_, rank)| rank.paused).max();
+    let scheduled = group.known().filter_map(|(_, rank)| rank.scheduled).max();
+    if !group.is_complete() {
         return match paused {
-            Some(_) if view.lacks_predecessor() => take_back(view, wanted),
-            _ => Act::Wait,
+            Some(_) if group.misses_only_predecessor() => roll_back(group, target),
+            _ => Action::Wait,
         };
     }
     match (paused, scheduled) {
-        (Some(_), Some(scheduled)) => finish(view, scheduled, wanted),
-        (Some(pass), None) => schedule(view, wanted, pass),
-        (None, Some(scheduled)) => watch(view, scheduled),
-        (None, None) => begin(view, wanted),
+        (Some(_), Some(scheduled)) => complete(group, scheduled, target),
+        (Some(pass), None) => schedule(group, target, pass),
+        (None, Some(scheduled)) => check_scheduled(group, scheduled),
+        (None, None) => start_change(group, target),
     }
 }
 
 /// Paused, and a map is scheduled at some ranks at least.
-fn finish(view: View<'_>, scheduled: (u64, u64), wanted: Option<&Wanted>) -> Act {
+fn complete(group: GroupSnapshot<'_>, scheduled: (u64, u64), target: Option<&TargetMap>) -> Action {
     let (version, pass) = scheduled;
     let has = |rank: &RankState| rank.scheduled == Some(scheduled);
-    if view.all(has) {
-        return view.each(|_, rank| rank.paused.map(|pass| OrderKind::Resume { pass }));
+    if group.all(has) {
+        return group.order_each(|_, rank| rank.paused.map(|pass| OrderKind::Resume { pass }));
     }
-    if owner(version) > view.token {
-        return Act::Wait;
+    if owner(version) > group.token {
+        return Action::Wait;
     }
-    if view.all(|rank| has(rank) || rank.loaded == Some(version)) {
-        return schedule_missing(view, version, pass);
+    if group.all(|rank| has(rank) || rank.loaded == Some(version)) {
+        return schedule_missing(group, version, pass);
     }
-    replace(view, wanted)
+    replace(group, target)
 }
 
 /// Some ranks have a version scheduled that others can't get. It is cancelled where
 /// some rank has gone on to a newer one; until then, ranks are made to go on. Were it
 /// cancelled sooner, the order could come late, after all had it scheduled and the
 /// group was told to resume: a pass under two maps.
-fn replace(view: View<'_>, wanted: Option<&Wanted>) -> Act {
-    let is_lost = |version: u64| view.known().any(|(_, rank)| rank.is_beyond(version));
-    let cancel = view.each(|_, rank| {
+fn replace(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
+    let is_lost = |version: u64| group.known().any(|(_, rank)| rank.has_newer(version));
+    let cancel = group.order_each(|_, rank| {
         let (version, _) = rank.scheduled.filter(|(version, _)| is_lost(*version))?;
         Some(OrderKind::Cancel { version })
     });
-    if cancel != Act::Wait {
+    if cancel != Action::Wait {
         return cancel;
     }
-    let Some(wanted) = wanted else { return Act::Want };
-    load(view, wanted)
+    let Some(target) = target else { return Action::NeedTarget };
+    load(group, target)
 }
 
 /// Schedules where it is not yet; at the coordinator's own rank last.
-fn schedule_missing(view: View<'_>, version: u64, pass: u64) -> Act {
+fn schedule_missing(group: GroupSnapshot<'_>, version: u64, pass: u64) -> Action {
     let lacks = |rank: &RankState| rank.scheduled != Some((version, pass));
-    let others = view.known().any(|(at, rank)| at != view.own && lacks(rank));
+    let others = group.known().any(|(at, rank)| at != group.own && lacks(rank));
     let order = OrderKind::Schedule { version, pass };
-    view.each(|at, rank| ((at == view.own) != others && lacks(rank)).then(|| order.clone()))
+    group.order_each(|at, rank| ((at == group.own) != others && lacks(rank)).then(|| order.clone()))
 }
 
 /// Paused, and nothing is scheduled.
-fn schedule(view: View<'_>, wanted: Option<&Wanted>, pass: u64) -> Act {
-    let Some(wanted) = wanted else { return Act::Want };
-    if !view.all(|rank| rank.loaded == Some(wanted.version)) {
-        return load(view, wanted);
+fn schedule(group: GroupSnapshot<'_>, target: Option<&TargetMap>, pass: u64) -> Action {
+    let Some(target) = target else { return Action::NeedTarget };
+    if !group.all(|rank| rank.loaded == Some(target.version)) {
+        return load(group, target);
     }
-    schedule_missing(view, wanted.version, pass)
+    schedule_missing(group, target.version, pass)
 }
 
 /// Paused, and the predecessor's rank can't be reached.
-fn take_back(view: View<'_>, wanted: Option<&Wanted>) -> Act {
-    let is_its = view.predecessor.is_some_and(|predecessor| view.is_paused_by(predecessor));
-    if !is_its || view.all(|rank| rank.scheduled.is_some()) {
+fn roll_back(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
+    let is_predecessors =
+        group.predecessor.is_some_and(|predecessor| group.is_paused_by(predecessor));
+    if !is_predecessors || group.all(|rank| rank.scheduled.is_some()) {
         // That rank may have it scheduled, or not: only it can tell.
-        return Act::Wait;
+        return Action::Wait;
     }
-    if !view.all(|rank| rank.scheduled.is_none()) {
-        return replace(view, wanted);
+    if !group.all(|rank| rank.scheduled.is_none()) {
+        return replace(group, target);
     }
-    let Some(wanted) = wanted else { return Act::Want };
-    if !view.all(|rank| rank.loaded == Some(wanted.version)) {
-        return load(view, wanted);
+    let Some(target) = target else { return Action::NeedTarget };
+    if !group.all(|rank| rank.loaded == Some(target.version)) {
+        return load(group, target);
     }
-    view.each(|_, rank| rank.paused.map(|pass| OrderKind::Resume { pass }))
+    group.order_each(|_, rank| rank.paused.map(|pass| OrderKind::Resume { pass }))
 }
 
 /// Scheduled without a pause: every rank has it, or its pass has begun since
 /// some of the states were read. If neither, the group is paused to mend it.
-fn watch(view: View<'_>, scheduled: (u64, u64)) -> Act {
-    let agreed = view.all(|rank| rank.scheduled == Some(scheduled));
+fn check_scheduled(group: GroupSnapshot<'_>, scheduled: (u64, u64)) -> Action {
+    let agreed = group.all(|rank| rank.scheduled == Some(scheduled));
     let begun = |rank: &RankState| rank.pass >= scheduled.1 || rank.map == scheduled.0;
-    if agreed || view.known().any(|(_, rank)| begun(rank)) {
-        return Act::Wait;
+    if agreed || group.known().any(|(_, rank)| begun(rank)) {
+        return Action::Wait;
     }
-    pause(view, view.behind(view.behind(view.own)), scheduled.1)
+    pause(group, group.next_rank(group.next_rank(group.own)), scheduled.1)
 }
 
 /// Nothing is under way.
-fn begin(view: View<'_>, wanted: Option<&Wanted>) -> Act {
-    let Some(wanted) = wanted else { return Act::Wait };
-    if !view.all(|rank| rank.map < wanted.version) {
-        return Act::Wait;
+fn start_change(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
+    let Some(target) = target else { return Action::Wait };
+    if !group.all(|rank| rank.map < target.version) {
+        return Action::Wait;
     }
-    if !view.all(|rank| rank.loaded == Some(wanted.version)) {
-        return load(view, wanted);
+    if !group.all(|rank| rank.loaded == Some(target.version)) {
+        return load(group, target);
     }
-    let last = view.known().map(|(_, rank)| rank.pass).max().unwrap_or(0);
-    pause(view, view.behind(view.own), last + view.ahead)
+    let last = group.known().map(|(_, rank)| rank.pass).max().unwrap_or(0);
+    pause(group, group.next_rank(group.own), last + group.lookahead)
 }
 
 /// At another rank than the coordinator's own, which may be lost with it.
-fn pause(view: View<'_>, at: usize, pass: u64) -> Act {
-    let at = if at == view.own { view.behind(at) } else { at };
-    Act::Orders(vec![(at, OrderKind::Pause { pass })])
+fn pause(group: GroupSnapshot<'_>, at: usize, pass: u64) -> Action {
+    let at = if at == group.own { group.next_rank(at) } else { at };
+    Action::Orders(vec![(at, OrderKind::Pause { pass })])
 }
 
-fn load(view: View<'_>, wanted: &Wanted) -> Act {
-    let order = OrderKind::Load { version: wanted.version, map: wanted.map.clone() };
+fn load(group: GroupSnapshot<'_>, target: &TargetMap) -> Action {
+    let order = OrderKind::Load { version: target.version, map: target.map.clone() };
     let missing = |rank: &RankState| {
-        rank.loaded != Some(wanted.version) && rank.scheduled.is_none() && !rank.busy
+        rank.loaded != Some(target.version) && rank.scheduled.is_none() && !rank.busy
     };
-    view.each(|_, rank| missing(rank).then(|| order.clone()))
+    group.order_each(|_, rank| missing(rank).then(|| order.clone()))
 }
--- a/crates/mastweir-core/src/switch/maps.rs
+++ b/crates/mastweir-core/src/switch/maps.rs
@@ -4,7 +4,7 @@
 //! the server writes the whole of it, where that is free. One that lacks the map in force,
 //! since it has just started, says so and gets all.
 
-use super::hold::GroupMap;
+use super::map_change::GroupMap;
 use serde::{Deserialize, Serialize};
 use std::{
     collections::BTreeMap,
--- a/crates/mastweir-core/src/switch/mod.rs
+++ b/crates/mastweir-core/src/switch/mod.rs
@@ -16,9 +16,9 @@
 
 mod coordinator;
 pub mod election;
-pub mod hold;
 mod lease;
 mod loss;
+pub mod map_change;
 pub mod maps;
 mod rank;
 pub mod sections;
--- a/crates/mastweir-test-support/src/lockstep.rs
+++ b/crates/mastweir-test-support/src/lockstep.rs
@@ -9,7 +9,7 @@
     ordered::OrderedRank,
     scripted::{Act, Got},
 };
-use mastweir_core::switch::hold::{GroupMap, Layers, Order, OrderKind, Taken};
+use mastweir_core::switch::map_change::{GroupMap, Order, OrderKind, OrderOutcome, RankExperts};
 use serde_json::{Value, json};
 use std::{
     sync::{
@@ -166,7 +166,7 @@
     fn lists(&self, rank: usize) -> Value {
         let state = lock(&self.state);
         let held = &state.ranks[rank];
-        let experts: Layers = held.map.iter().map(|ranks| ranks[rank].clone()).collect();
+        let experts: RankExperts = held.map.iter().map(|ranks| ranks[rank].clone()).collect();
         json!({ "map": { "version": held.state.map, "experts": experts } })
     }
 
@@ -185,9 +185,9 @@
             return vec![Act::Hang];
         }
         let status = match lock(&self.state).ranks[rank].take(&order) {
-            Taken::Yes => 202,
-            Taken::Conflict => 409,
-            Taken::Fenced => 412,
+            OrderOutcome::Accepted => 202,
+            OrderOutcome::Conflict => 409,
+            OrderOutcome::Fenced => 412,
         };
         vec![answer(status, &json!({}))]
     }
@@ -258,7 +258,7 @@
         _ => return None,
     };
     let token = number("fencing_token")?;
-    Some(Order { token, taken: number("expected_rev")?, epoch: number("epoch")?, kind })
+    Some(Order { token, order_seq: number("expected_rev")?, epoch: number("epoch")?, kind })
 }
 
 fn answer(status: u16, body: &Value) -> Act {
--- a/crates/mastweir-test-support/src/ordered.rs
+++ b/crates/mastweir-test-support/src/ordered.rs
@@ -3,7 +3,7 @@
 //! Its count of orders does not rise with the orders of a change of maps: servers were
 //! seen to leave it at zero, so nothing may rest on it.
 
-use mastweir_core::switch::hold::{GroupMap, Order, OrderKind, RankState, Taken};
+use mastweir_core::switch::map_change::{GroupMap, Order, OrderKind, OrderOutcome, RankState};
 
 /// A rank of a group.
 #[derive(Clone, Debug, Default)]
@@ -34,21 +34,21 @@
     }
 
     /// Takes an order, or refuses it.
-    pub fn take(&mut self, order: &Order) -> Taken {
+    pub fn take(&mut self, order: &Order) -> OrderOutcome {
         if order.token < self.token && !self.unfenced {
-            return Taken::Fenced;
+            return OrderOutcome::Fenced;
         }
         if order.epoch != self.state.epoch {
-            return Taken::Conflict;
+            return OrderOutcome::Conflict;
         }
         let taken = self.carry_out(&order.kind);
-        if taken == Taken::Yes {
+        if taken == OrderOutcome::Accepted {
             self.token = order.token;
         }
         taken
     }
 
-    fn carry_out(&mut self, kind: &OrderKind) -> Taken {
+    fn carry_out(&mut self, kind: &OrderKind) -> OrderOutcome {
         match kind {
             OrderKind::Load { version, map } => self.load(*version, map),
             OrderKind::Schedule { version, pass } => {
@@ -82,19 +82,19 @@
         }
     }
 
-    fn load(&mut self, version: u64, map: &GroupMap) -> Taken {
+    fn load(&mut self, version: u64, map: &GroupMap) -> OrderOutcome {
         let has = self.loaded.as_ref().is_some_and(|(loaded, _)| *loaded == version);
         let is_loading = self.loading.as_ref().is_some_and(|(of, _)| *of == version);
         if has || is_loading {
-            return Taken::Yes;
+            return OrderOutcome::Accepted;
         }
         if version <= self.had || self.state.scheduled.is_some() {
-            return Taken::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.had = version;
         (self.loaded, self.state.loaded) = (None, None);
         self.loading = Some((version, map.clone()));
-        Taken::Yes
+        OrderOutcome::Accepted
     }
 
     /// Ends a load that is under way.
@@ -122,19 +122,19 @@
     /// anew.
     pub fn start_again(&mut self) {
         self.form_anew();
-        self.state.taken = 0;
+        self.state.order_seq = 0;
         (self.had, self.token) = (0, 0);
     }
 
     /// The group forms anew: what was loaded or ordered is gone, but neither the
     /// highest version nor the highest token.
     pub fn form_anew(&mut self) {
-        let RankState { epoch, rank, size, taken, pass, .. } = self.state;
+        let RankState { epoch, rank, size, order_seq, pass, .. } = self.state;
         let state = RankState {
             epoch: epoch + 1,
             rank,
             size,
-            taken,
+            order_seq,
             open: true,
             pass,
             ..RankState::default()
@@ -144,6 +144,6 @@
     }
 }
 
-fn yes(is: bool) -> Taken {
-    if is { Taken::Yes } else { Taken::Conflict }
+fn yes(is: bool) -> OrderOutcome {
+    if is { OrderOutcome::Accepted } else { OrderOutcome::Conflict }
 }
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -9,7 +9,7 @@
     gateway::{Limited, Model, Named, Suspected, Told},
     revision::Revision,
     switch::{
-        hold::{RankState, Taken},
+        map_change::{OrderOutcome, RankState},
         maps::MapChange,
     },
     time::Uptime,
@@ -319,7 +319,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
     /// What the rank made of it; none if it gave no answer.
-    pub taken: Option<Taken>,
+    pub taken: Option<OrderOutcome>,
     /// Its state after it.
     pub state: Option<RankState>,
     /// When that was read, on the sidecar's clock.
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header};
-use mastweir_core::switch::hold::{GroupMap, Layers, Order, OrderKind, RankState, Taken};
+use mastweir_core::switch::map_change::{
+    GroupMap, Order, OrderKind, OrderOutcome, RankExperts, RankState,
+};
 use serde::{
     Deserialize, Deserializer, Serialize,
     de::{DeserializeSeed, SeqAccess, Visitor},
@@ -147,7 +149,7 @@
 #[derive(Debug, Deserialize)]
 struct VersionedLists {
     version: u64,
-    experts: Layers,
+    experts: RankExperts,
 }
 
 /// State of a server, with its rank's if it has one.
@@ -233,7 +235,7 @@
     /// # Errors
     ///
     /// See [`EngineError`].
-    pub async fn map(&self) -> Result<(u64, Layers), EngineError> {
+    pub async fn map(&self) -> Result<(u64, RankExperts), EngineError> {
         let Called { body, .. } = self.get("/picked?lists=1").await?;
         let lists: Lists = serde_json::from_slice(&body)?;
         Ok((lists.map.version, lists.map.experts))
@@ -244,13 +246,13 @@
     /// # Errors
     ///
     /// No answer: the order may be carried out, now or seconds later.
-    pub async fn order(&self, order: &Order) -> Result<Taken, EngineError> {
+    pub async fn order(&self, order: &Order) -> Result<OrderOutcome, EngineError> {
         let bytes = serde_json::to_vec(&body(order))?;
         let status = self.call(Method::POST, "/order", bytes, ORDER_LASTS).await?.status;
         Ok(match status {
-            200 | 202 => Taken::Yes,
-            409 => Taken::Conflict,
-            412 => Taken::Fenced,
+            200 | 202 => OrderOutcome::Accepted,
+            409 => OrderOutcome::Conflict,
+            412 => OrderOutcome::Fenced,
             _ => return Err(EngineError::Refused { status }),
         })
     }
@@ -306,7 +308,7 @@
     FileOrder {
         op,
         fencing_token: order.token,
-        expected_rev: order.taken,
+        expected_rev: order.order_seq,
         epoch: order.epoch,
         version,
         step,
@@ -325,7 +327,7 @@
         open: group.state == "open",
         busy: report.busy,
         pass: report.step,
-        taken: report.seq,
+        order_seq: report.seq,
         map: version(&report.map).unwrap_or(0),
         loaded: version(&report.prepared),
         scheduled: scheduled(&report.armed),
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/carry.rs
@@ -8,7 +8,7 @@
 };
 use futures_util::future::join_all;
 use mastweir_core::switch::{
-    hold::{Order, OrderKind, Taken},
+    map_change::{Order, OrderKind, OrderOutcome},
     maps::{MapChange, dealt},
 };
 use slog::warn;
@@ -96,7 +96,7 @@
         }
     };
     let Directed { token, taken, epoch, .. } = order;
-    carry_out(sidecar, &sidecar.engine, &Order { token, taken, epoch, kind }).await
+    carry_out(sidecar, &sidecar.engine, &Order { token, order_seq: taken, epoch, kind }).await
 }
 
 /// Keeps the map of a group's new life, which is the base of the first changes; the digest
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Given {
     /// What the server made of it; none if it gave no answer.
-    pub taken: Option<Taken>,
+    pub taken: Option<OrderOutcome>,
     /// Times that it was given without an answer.
     pub unanswered: u32,
 }
@@ -140,7 +140,7 @@
             Err(error) => {
                 unanswered += 1;
                 warn!(sidecar.log, "order without an answer"; "token" => order.token,
-                    "taken" => order.taken, "times" => unanswered, "error" => %error);
+                    "taken" => order.order_seq, "times" => unanswered, "error" => %error);
                 if !matches!(error, EngineError::Call(_)) {
                     break;
                 }
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -19,7 +19,10 @@
     },
     switch::{
         OrderLoss,
-        hold::{Act, GroupMap, OrderKind, RankState, Taken, View, Wanted, decide, version},
+        map_change::{
+            Action, GroupMap, GroupSnapshot, OrderKind, OrderOutcome, RankState, TargetMap, decide,
+            version,
+        },
     },
     time::Uptime,
 };
@@ -47,7 +50,7 @@
     pub(super) sidecar: &'a Sidecar,
     pub(super) shared: &'a Shared,
     pub(super) map: Option<(u64, Arc<GroupMap>)>,
-    wanted: Option<(Wanted, Uptime)>,
+    wanted: Option<(TargetMap, Uptime)>,
     versions: u64,
     fenced: bool,
     /// How many orders get no answer.
@@ -147,22 +150,22 @@
         if self.wanted.is_some() {
             self.tell_pace(states.len());
         }
-        let view = View {
+        let view = GroupSnapshot {
             ranks: &states,
             own: self.own_rank(),
             token: self.shared.token,
             predecessor: self.predecessor(&states),
-            ahead: self.loss.ahead(states.len(), self.sidecar.pass_ms.get()),
+            lookahead: self.loss.ahead(states.len(), self.sidecar.pass_ms.get()),
         };
         let act = decide(view, self.wanted.as_ref().map(|(wanted, _)| wanted));
         match act {
-            Act::Wait => self.wanted.is_some(),
-            Act::Want => {
+            Action::Wait => self.wanted.is_some(),
+            Action::NeedTarget => {
                 let map = self.map.as_ref().map(|(_, map)| map.clone());
                 map.into_iter().for_each(|map| self.want(map));
                 true
             }
-            Act::Orders(orders) => {
+            Action::Orders(orders) => {
                 self.give(&states, orders).await;
                 true
             }
@@ -265,7 +268,7 @@
     fn want(&mut self, map: Arc<GroupMap>) {
         self.versions += 1;
         let version = version(self.shared.token, self.versions);
-        self.wanted = Some((Wanted { version, map }, self.sidecar.clock.now()));
+        self.wanted = Some((TargetMap { version, map }, self.sidecar.clock.now()));
     }
 
     /// Gives orders to ranks, all at once, and takes their states in.
@@ -282,14 +285,14 @@
         let mut known = self.shared.known.borrow_mut();
         let ranks = &mut known.ranks;
         for (rank, epoch, reply) in replies {
-            if let (Some(version), Some(Taken::Yes)) = (loads, reply.taken) {
+            if let (Some(version), Some(OrderOutcome::Accepted)) = (loads, reply.taken) {
                 ranks.loads(rank, version, epoch, now);
             }
             (0..reply.unanswered).for_each(|_| self.loss.note(false, now));
             if !reply.lacks && (reply.taken.is_some() || reply.unanswered == 0) {
                 self.loss.note(reply.taken.is_some(), now);
             }
-            self.fenced |= reply.taken == Some(Taken::Fenced);
+            self.fenced |= reply.taken == Some(OrderOutcome::Fenced);
             let Some(seen) = ranks.get(rank) else { continue };
             let server = seen.server;
             if reply.lacks {
--- a/src/mastweir/sidecar/find_map.rs
+++ b/src/mastweir/sidecar/find_map.rs
@@ -4,7 +4,7 @@
 use crate::net::internal;
 use futures_util::future::join_all;
 use mastweir_core::switch::{
-    hold::{GroupMap, Layers},
+    map_change::{GroupMap, RankExperts},
     maps::dealt,
 };
 use slog::{info, warn};
@@ -95,8 +95,8 @@
         let now = self.sidecar.clock.now();
         let fresh: Vec<Seen> = self.shared.known.borrow().ranks.fresh(now).cloned().collect();
         let reads = fresh.iter().map(async |seen| (seen.state.rank, self.read_rank(seen).await));
-        let read: Vec<(u32, Option<(u64, Layers)>)> = join_all(reads).await;
-        let mut by_rank: Vec<Option<Layers>> = vec![None; ranks];
+        let read: Vec<(u32, Option<(u64, RankExperts)>)> = join_all(reads).await;
+        let mut by_rank: Vec<Option<RankExperts>> = vec![None; ranks];
         for (rank, layers) in read {
             let layers = layers.filter(|(read, _)| *read == version).map(|(_, layers)| layers);
             if let Some(place) = by_rank.get_mut(rank as usize) {
@@ -121,7 +121,7 @@
         }
     }
 
-    async fn read_rank(&self, seen: &Seen) -> Option<(u64, Layers)> {
+    async fn read_rank(&self, seen: &Seen) -> Option<(u64, RankExperts)> {
         if seen.read_at.is_none() || seen.server == self.sidecar.server {
             return self.engine(seen.server).map().await.ok();
         }
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -23,7 +23,7 @@
     future::{LocalBoxFuture, join_all},
 };
 use mastweir_core::switch::{
-    hold::{GroupMap, Order, OrderKind, RankState, Taken},
+    map_change::{GroupMap, Order, OrderKind, OrderOutcome, RankState},
     maps::MapChange,
 };
 use slog::{info, warn};
@@ -86,7 +86,8 @@
     let address = |(at, kind): (usize, OrderKind)| {
         let state = given.states[at].as_ref()?;
         let seen = known.ranks.get(state.rank)?.clone();
-        let order = Order { token: shared.token, taken: state.taken, epoch: state.epoch, kind };
+        let order =
+            Order { token: shared.token, order_seq: state.order_seq, epoch: state.epoch, kind };
         Some(Addressed { rank: state.rank, seen, order })
     };
     orders.into_iter().filter_map(address).collect()
@@ -176,7 +177,7 @@
         OrderKind::Cancel { version } => Brief::Cancel { version: *version },
         OrderKind::Pause { .. } | OrderKind::Resume { .. } => return None,
     };
-    let Order { token, taken, epoch, .. } = order.order;
+    let Order { token, order_seq: taken, epoch, .. } = order.order;
     Some(Directed { server: order.seen.server, token, taken, epoch, brief })
 }
 
@@ -216,8 +217,9 @@
         .filter(|(_, _, reply)| reply.taken.is_none())
         .map(|(rank, ..)| *rank)
         .collect();
-    let refused =
-        replies.iter().filter(|(_, _, reply)| reply.taken.is_some_and(|taken| taken != Taken::Yes));
+    let refused = replies
+        .iter()
+        .filter(|(_, _, reply)| reply.taken.is_some_and(|taken| taken != OrderOutcome::Accepted));
     let lacking = replies.iter().filter(|(_, _, reply)| reply.lacks).count();
     info!(sidecar.log, "orders answered"; "group" => &shared.group, "answered" => taken.count(),
         "refused" => refused.count(), "lacking" => lacking, "silent" => silent.len(),
--- a/src/mastweir/sidecar/plan.rs
+++ b/src/mastweir/sidecar/plan.rs
@@ -3,7 +3,7 @@
 use mastweir_core::{
     experts::layers::LayerPlanner,
     gateway::Model,
-    switch::hold::{GroupMap, Layers},
+    switch::map_change::{GroupMap, RankExperts},
 };
 use std::collections::HashSet;
 
@@ -35,9 +35,9 @@
 }
 
 /// A group's map from its ranks' parts. One that is missing gets what no other has.
-pub fn assemble(by_rank: &[Option<Layers>], experts: usize) -> GroupMap {
+pub fn assemble(by_rank: &[Option<RankExperts>], experts: usize) -> GroupMap {
     let sets = by_rank.iter().flatten().map(Vec::len).max().unwrap_or(0);
-    let of = |rank: &Option<Layers>, set: usize| {
+    let of = |rank: &Option<RankExperts>, set: usize| {
         rank.as_ref().and_then(|layers| layers.get(set)).cloned().unwrap_or_default()
     };
     let by_set = |set: usize| {
--- a/src/mastweir/sidecar/ranks.rs
+++ b/src/mastweir/sidecar/ranks.rs
@@ -6,7 +6,7 @@
 
 use super::state::Sidecar;
 use crate::{gateway::message::RankBrief, net::http::Pool, platform::engine::Engine};
-use mastweir_core::{switch::hold::RankState, time::Uptime};
+use mastweir_core::{switch::map_change::RankState, time::Uptime};
 use slog::info;
 use std::{
     collections::{BTreeMap, HashSet},
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -5,7 +5,7 @@
     gateway::message::{Counts, Poll, RankBrief, RankReport},
     sidecar::answers::{Answers, add_counts},
 };
-use mastweir_core::{switch::hold::RankState, time::Uptime};
+use mastweir_core::{switch::map_change::RankState, time::Uptime};
 use std::net::{IpAddr, SocketAddr};
 
 fn ip(number: u8) -> IpAddr {
--- a/tests/testsuite/fuzz_hold.rs
+++ b/tests/testsuite/fuzz_map_change.rs
@@ -3,7 +3,9 @@
 //! beside their successors or stand still, ranks that can't be reached, groups
 //! that break, and servers that start again while orders of before are on their way. At the end a sound coordinator has to get the group going again.
 
-use mastweir_core::switch::hold::{Act, Order, RankState, View, Wanted, decide, version};
+use mastweir_core::switch::map_change::{
+    Action, GroupSnapshot, Order, RankState, TargetMap, decide, version,
+};
 use mastweir_test_support::ordered::OrderedRank;
 use proptest::{
     prelude::*,
@@ -90,7 +92,7 @@
     own: usize,
     before: Option<usize>,
     seen: Vec<Option<RankState>>,
-    wanted: Option<Wanted>,
+    wanted: Option<TargetMap>,
     versions: u64,
     still: bool,
 }
@@ -101,7 +103,7 @@
         let version = version(self.token, self.versions);
         // The content names who wanted it.
         let map = vec![vec![vec![u16::try_from(version % 60_000).unwrap_or(0)]; RANKS]];
-        self.wanted = Some(Wanted { version, map: Arc::new(map) });
+        self.wanted = Some(TargetMap { version, map: Arc::new(map) });
     }
 }
 
@@ -170,21 +172,25 @@
         }
         let predecessor = leader.before.filter(|rank| leader.seen[*rank].is_none());
         let (own, token) = (leader.own, leader.token);
-        let view = View { ranks: &leader.seen, own, token, predecessor, ahead: 2 };
+        let view = GroupSnapshot { ranks: &leader.seen, own, token, predecessor, lookahead: 2 };
         match decide(view, leader.wanted.as_ref()) {
-            Act::Wait => {
+            Action::Wait => {
                 let version = leader.wanted.as_ref().map(|wanted| wanted.version);
                 let done = leader.seen.iter().flatten().all(|seen| Some(seen.map) == version);
                 if done {
                     leader.wanted = None;
                 }
             }
-            Act::Want => leader.want(),
-            Act::Orders(orders) => {
+            Action::NeedTarget => leader.want(),
+            Action::Orders(orders) => {
                 for (rank, kind) in orders {
                     let Some(seen) = &leader.seen[rank] else { continue };
-                    let order =
-                        Order { token: leader.token, taken: seen.taken, epoch: seen.epoch, kind };
+                    let order = Order {
+                        token: leader.token,
+                        order_seq: seen.order_seq,
+                        epoch: seen.epoch,
+                        kind,
+                    };
                     self.flights.push(Flight { leader: number, rank, order });
                 }
             }
--- a/tests/testsuite/group_maps.rs
+++ b/tests/testsuite/group_maps.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use mastweir_core::switch::{
-    hold::GroupMap,
+    map_change::GroupMap,
     maps::{MapChange, Maps, dealt},
 };
 use proptest::{
--- a/tests/testsuite/lives.rs
+++ b/tests/testsuite/lives.rs
@@ -14,7 +14,7 @@
 };
 use mastweir_core::{
     gateway::{Fleet, Needs, Server, ServerState, Told},
-    switch::hold::RankState,
+    switch::map_change::RankState,
     time::Uptime,
 };
 use mastweir_test_support::{
--- a/tests/testsuite/hold.rs
+++ b/tests/testsuite/map_change.rs
@@ -4,7 +4,7 @@
 use mastweir_core::{
     switch::{
         OrderLoss,
-        hold::{Act, OrderKind, RankState, View, Wanted, decide, version},
+        map_change::{Action, GroupSnapshot, OrderKind, RankState, TargetMap, decide, version},
     },
     time::Uptime,
 };
@@ -31,10 +31,10 @@
 }
 
 fn act(ranks: &[Option<RankState>], predecessor: Option<usize>, wanted: bool) -> String {
-    let wanted = wanted.then(|| Wanted { version: OURS, map: vec![vec![vec![0]]].into() });
-    let view = View { ranks, own: OWN, token: TOKEN, predecessor, ahead: 2 };
+    let wanted = wanted.then(|| TargetMap { version: OURS, map: vec![vec![vec![0]]].into() });
+    let view = GroupSnapshot { ranks, own: OWN, token: TOKEN, predecessor, lookahead: 2 };
     let told = match decide(view, wanted.as_ref()) {
-        Act::Orders(orders) => {
+        Action::Orders(orders) => {
             let told = |(rank, order): &(usize, OrderKind)| match order {
                 OrderKind::Load { version, .. } => format!("{rank}: load {version}"),
                 other => format!("{rank}: {other:?}"),
@@ -94,7 +94,7 @@
 fn a_paused_group_is_not_resumed_without_a_map() {
     let mut ranks = group(|_| ());
     ranks[2] = Some(RankState { paused: Some(72), ..rank(2) });
-    insta::assert_snapshot!(act(&ranks, None, false), @"Want");
+    insta::assert_snapshot!(act(&ranks, None, false), @"NeedTarget");
 }
 
 /// Not before: the order may come late, when all have it scheduled after all.
@@ -102,7 +102,7 @@
 fn what_the_others_can_not_have_is_cancelled_once_one_has_gone_on() {
     let mut ranks = group(|_| ());
     ranks[0] = Some(RankState { scheduled: Some((THEIRS, 72)), paused: Some(72), ..rank(0) });
-    insta::assert_snapshot!(act(&ranks, None, false), @"Want");
+    insta::assert_snapshot!(act(&ranks, None, false), @"NeedTarget");
     insta::assert_snapshot!(act(&ranks, None, true), @"
     1: load ours
     2: load ours
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -10,7 +10,7 @@
     gateway::{Limited, Named, Rate, Told},
     revision::Revision,
     switch::{
-        hold::RankState,
+        map_change::RankState,
         maps::MapChange,
         sections::{Member, Members, sections},
     },
@@ -35,7 +35,7 @@
         open: true,
         busy: true,
         pass: 40_000_000,
-        taken: 1_000_000,
+        order_seq: 1_000_000,
         map: 900 << 20,
         loaded: Some((901 << 20) + 7),
         scheduled: Some(((901 << 20) + 7, 40_000_002)),
