--- a/crates/mastweir-bench/src/commands/plans.rs
+++ b/crates/mastweir-bench/src/commands/plans.rs
@@ -4,8 +4,8 @@
 use argh::FromArgs;
 use mastweir_core::{
     experts::{
-        Work,
-        layers::{LayerPlanner, Planning},
+        Workload,
+        layer_planner::{LayerPlanner, Planning},
     },
     switch::maps::dealt,
 };
@@ -43,13 +43,13 @@
     let mut report = Report::new("plans", args.json);
     for (ranks, experts, sets, places, fresh) in GROUPS {
         let planner = LayerPlanner {
-            places,
-            fresh,
+            slots: places,
+            max_new: fresh,
             load_s: 0.018,
             horizon_s: 2.5,
             load_cost: 0.000_9,
             change_cost: 0.06,
-            load_slows: 0.15,
+            load_slowdown: 0.15,
         };
         let mut rng = SmallRng::seed_from_u64(args.seed);
         let mut map = dealt(sets, experts, ranks);
@@ -57,7 +57,7 @@
             let demand: Vec<Vec<f64>> = (0..sets).map(|_| steep(experts, &mut rng)).collect();
             let case = format!("{ranks}x{experts}x{sets}-{moment}");
             report.progress(&case);
-            let work = Work { demand: &demand, pace: &[] };
+            let work = Workload { demand: &demand, slowdown: &[] };
             let began = Instant::now();
             let mut planning = Planning::new(planner, &map, work, 1.0);
             let mut longest = began.elapsed();
@@ -74,9 +74,9 @@
             let figures = [
                 ms(began.elapsed()),
                 ms(longest),
-                plan.skew_now,
-                plan.skew_then,
-                plan.moved as f64,
+                plan.skew_before,
+                plan.skew_after,
+                plan.total_loads as f64,
             ];
             report.add(&case, "current", &METRICS.into_iter().zip(figures).collect::<Vec<_>>());
             map = plan.map;
--- a/crates/mastweir-bench/src/sim/experts.rs
+++ b/crates/mastweir-bench/src/sim/experts.rs
@@ -1,6 +1,6 @@
 //! A group whose experts' popularity changes, under one of five policies.
 
-use mastweir_core::experts::{Demand, Placement, Planner, Weighting, scratch, skew};
+use mastweir_core::experts::{Demand, Placement, Planner, PlannerConfig, greedy_placement, skew};
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use std::time::Instant;
 
@@ -37,7 +37,7 @@
     Never,
     Scratch,
     Threshold,
-    Planned(Weighting),
+    Planned(PlannerConfig),
 }
 
 pub const TRACES: [(&str, Trace); 6] = [
@@ -53,8 +53,8 @@
     ("never", Policy::Never),
     ("scratch", Policy::Scratch),
     ("threshold", Policy::Threshold),
-    ("current-skew", Policy::Planned(Weighting::SKEW)),
-    ("current-cost", Policy::Planned(Weighting::COST)),
+    ("current-skew", Policy::Planned(PlannerConfig::LOW_SKEW)),
+    ("current-cost", Policy::Planned(PlannerConfig::LOW_COST)),
 ];
 
 /// Popularity of the experts at each report.
@@ -110,7 +110,7 @@
     let start = popularity.base.clone();
     // Groups begin well placed for the demand at the start, as after a deploy;
     // not so where demand is to drift away anyway.
-    let mut placement = scratch(&start, ranks, slots);
+    let mut placement = greedy_placement(&start, ranks, slots);
     let mut run = Run {
         policy,
         ranks,
@@ -182,7 +182,7 @@
             let before = skew(&placement.loads(self.demand.by_expert()));
             let after = skew(&next.loads(self.demand.by_expert()));
             if after >= before {
-                self.wasted += placement.loads_to(next);
+                self.wasted += placement.loads_needed(next);
             }
             *placement = next.clone();
             self.pending = None;
@@ -193,7 +193,7 @@
         self.decide_s += begun.elapsed().as_secs_f64();
         self.decisions += 1;
         let Some(next) = next else { return };
-        let loads = placement.loads_to(&next);
+        let loads = placement.loads_needed(&next);
         if loads > 0 {
             self.moved += loads;
             self.pending = Some((next, report + LOADS_S));
@@ -206,12 +206,12 @@
             Policy::Never => None,
             Policy::Scratch => {
                 let due = report > 0 && report.is_multiple_of(SCRATCH_EVERY);
-                due.then(|| scratch(demand, self.ranks, self.slots))
+                due.then(|| greedy_placement(demand, self.ranks, self.slots))
             }
             Policy::Threshold => {
                 let uneven = skew(&placement.loads(demand)) > THRESHOLD;
                 let due = report > 0 && report.is_multiple_of(PLAN_EVERY) && uneven;
-                due.then(|| scratch(demand, self.ranks, self.slots))
+                due.then(|| greedy_placement(demand, self.ranks, self.slots))
             }
             Policy::Planned(weighting) => {
                 if !report.is_multiple_of(PLAN_EVERY) {
--- a/crates/mastweir-core/src/experts/scratch.rs
+++ b/crates/mastweir-core/src/experts/greedy.rs
@@ -7,7 +7,7 @@
 use super::{Expert, Placement};
 
 /// The placement for a demand.
-pub fn scratch(demand: &[f64], ranks: usize, slots: usize) -> Placement {
+pub fn greedy_placement(demand: &[f64], ranks: usize, slots: usize) -> Placement {
     let copies = replicate(demand, ranks * slots);
     let part = |expert: Expert| demand[expert] / f64::from(copies[expert]);
     let mut order: Vec<Expert> = (0..demand.len())
--- a/crates/mastweir-core/src/experts/layer_set.rs
+++ b/crates/mastweir-core/src/experts/layer_set.rs
@@ -1,38 +1,38 @@
 //! One set of layers while a plan is made: who holds what, and what each rank carries.
 //!
 //! A step touches the ranks that hold the expert that it copies or drops, and those
-//! that hold what makes room. What it does to the most loaded rank follows from these
+//! that hold what makes limits. What it does to the most loaded rank follows from these
 //! and from the few most loaded others, so that weighing one costs the same in a group
 //! of 8 ranks and of 512.
 
 /// Most loaded ranks that are kept in order: a step lowers a few of them at once, those
 /// that share an expert.
-const TOP: usize = 8;
+const TOP_RANKS: usize = 8;
 /// Ranks that may get a copy, in each step: the least loaded ones. With 12 instead of 6
 /// a plan for 96 ranks is as good and takes 1.7 times as long.
-const TARGETS: usize = 6;
+const TARGET_RANKS: usize = 6;
 /// Least gain of a step, in mean loads: of a copy, anything but rounding; of a drop,
 /// more, since a copy that is gone has to be loaded again when demand shifts.
-const COPY_GAIN_LEAST: f64 = 1e-6;
-const DROP_GAIN_LEAST: f64 = 0.02;
+const MIN_COPY_GAIN: f64 = 1e-6;
+const MIN_DROP_GAIN: f64 = 0.02;
 /// Part of what a rank is lowered by that counts where others are loaded as much.
-const PREPARES: f64 = 0.05;
+const TIE_WEIGHT: f64 = 0.05;
 
 /// What a map has to carry.
 #[derive(Clone, Copy, Debug)]
-pub struct Work<'a> {
+pub struct Workload<'a> {
     /// Demand by set and expert.
     pub demand: &'a [Vec<f64>],
     /// Time that each rank takes for the same work, over what is usual: 1 where
     /// nothing else is known.
-    pub pace: &'a [f64],
+    pub slowdown: &'a [f64],
 }
 
 /// A change of a set at one rank.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
-    /// An expert is loaded at a rank, in place of another where it has no room.
-    Copy { to: usize, expert: u16, evicted: Option<u16> },
+    /// An expert is loaded at a rank, in place of another where it has no limits.
+    Copy { to: usize, expert: u16, evict: Option<u16> },
     /// A rank gives up an expert that others hold, too.
     Drop { from: usize, expert: u16 },
 }
@@ -41,8 +41,8 @@
     /// Carries it out on the experts by rank.
     pub(super) fn apply(self, ranks: &mut [Vec<u16>]) {
         match self {
-            Self::Copy { to, expert, evicted } => {
-                ranks[to].retain(|held| Some(*held) != evicted);
+            Self::Copy { to, expert, evict } => {
+                ranks[to].retain(|held| Some(*held) != evict);
                 ranks[to].push(expert);
             }
             Self::Drop { from, expert } => ranks[from].retain(|held| *held != expert),
@@ -52,12 +52,12 @@
 
 /// A step, and what it gains in mean loads.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Move {
+pub(super) struct ScoredStep {
     pub(super) step: Step,
     pub(super) gain: f64,
 }
 
-impl Move {
+impl ScoredStep {
     /// Whether it loads an expert at that rank.
     pub(super) fn loads_at(&self, rank: Option<usize>) -> bool {
         matches!(self.step, Step::Copy { to, .. } if Some(to) == rank)
@@ -66,63 +66,72 @@
 
 /// What a step may use.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Room<'a> {
+pub(super) struct StepLimits<'a> {
     /// Experts that a rank holds at most.
-    pub(super) places: usize,
+    pub(super) slots: usize,
     /// Experts new to a rank that one plan may bring.
-    pub(super) fresh: usize,
+    pub(super) max_new: usize,
     /// Loads at each rank so far, over all sets.
-    pub(super) spent: &'a [usize],
+    pub(super) loads_used: &'a [usize],
     /// Loads at a rank at most.
     pub(super) budget: usize,
 }
 
-/// Changes of load by rank, of one step.
-type Changes = Vec<(usize, f64)>;
+/// LoadChanges of load by rank, of one step.
+type LoadChanges = Vec<(usize, f64)>;
 
-pub(super) struct Set<'a> {
+pub(super) struct LayerSet<'a> {
     demand: &'a [f64],
-    pace: &'a [f64],
-    before: &'a [Vec<u16>],
+    slowdown: &'a [f64],
+    initial: &'a [Vec<u16>],
     ranks: Vec<Vec<u16>>,
     /// Ranks that hold an expert.
     holders: Vec<Vec<usize>>,
     loads: Vec<f64>,
     /// Loads that the plan so far brings each rank.
-    fresh: Vec<usize>,
+    new_experts: Vec<usize>,
     mean: f64,
 }
 
-impl<'a> Set<'a> {
-    pub(super) fn new(before: &'a [Vec<u16>], demand: &'a [f64], pace: &'a [f64]) -> Self {
+impl<'a> LayerSet<'a> {
+    pub(super) fn new(initial: &'a [Vec<u16>], demand: &'a [f64], slowdown: &'a [f64]) -> Self {
         let mut holders = vec![Vec::new(); demand.len()];
-        for (rank, experts) in before.iter().enumerate() {
+        for (rank, experts) in initial.iter().enumerate() {
             experts.iter().for_each(|expert| holders[usize::from(*expert)].push(rank));
         }
-        let fresh = vec![0; before.len()];
-        let mean = demand.iter().sum::<f64>() / before.len().max(1) as f64;
-        let ranks = before.to_vec();
-        let mut set = Self { demand, pace, before, ranks, holders, loads: Vec::new(), fresh, mean };
+        let new_experts = vec![0; initial.len()];
+        let mean = demand.iter().sum::<f64>() / initial.len().max(1) as f64;
+        let ranks = initial.to_vec();
+        let mut set = Self {
+            demand,
+            slowdown,
+            initial,
+            ranks,
+            holders,
+            loads: Vec::new(),
+            new_experts,
+            mean,
+        };
         set.loads = (0..set.ranks.len()).map(|rank| set.load(rank)).collect();
         set
     }
 
     /// Time that a rank takes for its part.
     fn load(&self, rank: usize) -> f64 {
-        let parts: f64 = self.ranks[rank].iter().map(|expert| self.part(*expert)).sum();
-        parts * self.pace(rank)
+        let parts: f64 = self.ranks[rank].iter().map(|expert| self.copy_load(*expert)).sum();
+        parts * self.slowdown(rank)
     }
 
-    fn pace(&self, rank: usize) -> f64 {
-        self.pace.get(rank).copied().unwrap_or(1.0)
+    fn slowdown(&self, rank: usize) -> f64 {
+        self.slowdown.get(rank).copied().unwrap_or(1.0)
     }
 
-    fn part(&self, expert: u16) -> f64 {
-        self.part_of(expert, self.copies(expert))
+    fn copy_load(&self, expert: u16) -> f64 {
+        self.copy_load_of(expert, self.copies(expert))
     }
 
     /// What one of so many copies gets.
-    fn part_of(&self, expert: u16, copies: usize) -> f64 {
+    fn copy_load_of(&self, expert: u16, copies: usize) -> f64 {
         self.demand[usize::from(expert)] / copies.max(1) as f64
     }
 
@@ -137,29 +146,30 @@
     }
 
     /// The most loaded ranks, in order.
-    fn top(&self) -> Vec<usize> {
-        let mut top: Vec<usize> = Vec::with_capacity(TOP + 1);
+    fn most_loaded(&self) -> Vec<usize> {
+        let mut top: Vec<usize> = Vec::with_capacity(TOP_RANKS + 1);
         for (rank, load) in self.loads.iter().enumerate() {
             let at = top.partition_point(|other| self.loads[*other] >= *load);
-            if at < TOP {
+            if at < TOP_RANKS {
                 top.insert(at, rank);
-                top.truncate(TOP);
+                top.truncate(TOP_RANKS);
             }
         }
         top
     }
 
     /// The least loaded ranks that may load another expert.
-    fn targets(&self, room: Room<'_>) -> Vec<usize> {
-        let mut targets: Vec<usize> = Vec::with_capacity(TARGETS + 1);
+    fn least_loaded(&self, limits: StepLimits<'_>) -> Vec<usize> {
+        let mut targets: Vec<usize> = Vec::with_capacity(TARGET_RANKS + 1);
         for (rank, load) in self.loads.iter().enumerate() {
-            if room.spent[rank] >= room.budget || self.fresh[rank] >= room.fresh {
+            if limits.loads_used[rank] >= limits.budget || self.new_experts[rank] >= limits.max_new
+            {
                 continue;
             }
             let at = targets.partition_point(|other| self.loads[*other] <= *load);
-            if at < TARGETS {
+            if at < TARGET_RANKS {
                 targets.insert(at, rank);
-                targets.truncate(TARGETS);
+                targets.truncate(TARGET_RANKS);
             }
         }
         targets
@@ -170,53 +180,58 @@
     }
 
     /// How a step changes the loads of the ranks that it touches.
-    fn changes(&self, step: Step, changes: &mut Changes) {
+    fn load_changes(&self, step: Step, changes: &mut LoadChanges) {
         changes.clear();
         match step {
-            Step::Copy { to, expert, evicted } => {
-                let new = self.part_of(expert, self.copies(expert) + 1);
-                self.shift(expert, to, new, changes);
-                add(changes, to, new * self.pace(to));
-                evicted.into_iter().for_each(|out| self.without(out, to, changes));
+            Step::Copy { to, expert, evict } => {
+                let new = self.copy_load_of(expert, self.copies(expert) + 1);
+                self.reshare_changes(expert, to, new, changes);
+                add(changes, to, new * self.slowdown(to));
+                evict.into_iter().for_each(|out| self.drop_changes(out, to, changes));
             }
-            Step::Drop { from, expert } => self.without(expert, from, changes),
+            Step::Drop { from, expert } => self.drop_changes(expert, from, changes),
         }
     }
 
     /// A rank gives up an expert, and the others that hold it take its part.
-    fn without(&self, expert: u16, from: usize, changes: &mut Changes) {
-        add(changes, from, -self.part(expert) * self.pace(from));
-        self.shift(expert, from, self.part_of(expert, self.copies(expert) - 1), changes);
+    fn drop_changes(&self, expert: u16, from: usize, changes: &mut LoadChanges) {
+        add(changes, from, -self.copy_load(expert) * self.slowdown(from));
+        self.reshare_changes(
+            expert,
+            from,
+            self.copy_load_of(expert, self.copies(expert) - 1),
+            changes,
+        );
     }
 
     /// All holders of an expert but one get another part of it.
-    fn shift(&self, expert: u16, but: usize, part: f64, changes: &mut Changes) {
-        let change = part - self.part(expert);
-        let others = self.holders[usize::from(expert)].iter().filter(|rank| **rank != but);
-        others.for_each(|rank| add(changes, *rank, change * self.pace(*rank)));
+    fn reshare_changes(&self, expert: u16, except: usize, part: f64, changes: &mut LoadChanges) {
+        let change = part - self.copy_load(expert);
+        let others = self.holders[usize::from(expert)].iter().filter(|rank| **rank != except);
+        others.for_each(|rank| add(changes, *rank, change * self.slowdown(*rank)));
     }
 
-    /// What can go from a rank to make room: the copy that is missed least.
-    fn evictable(&self, rank: usize, but: u16) -> Option<u16> {
+    /// What can go from a rank to make limits: the copy that is missed least.
+    fn eviction_candidate(&self, rank: usize, except: u16) -> Option<u16> {
         let spare = self.ranks[rank]
             .iter()
             .copied()
-            .filter(|expert| *expert != but && self.copies(*expert) > 1);
-        let missed = |expert: u16| {
+            .filter(|expert| *expert != except && self.copies(*expert) > 1);
+        let cost = |expert: u16| {
             let copies = self.copies(expert) as f64;
             self.demand[usize::from(expert)] / (copies * (copies - 1.0))
         };
-        spare.min_by(|a, b| missed(*a).total_cmp(&missed(*b)))
+        spare.min_by(|a, b| cost(*a).total_cmp(&cost(*b)))
     }
 
     pub(super) fn apply(&mut self, step: Step) {
         match step {
-            Step::Copy { to, expert, evicted } => {
-                evicted.into_iter().for_each(|out| self.remove(to, out));
+            Step::Copy { to, expert, evict } => {
+                evict.into_iter().for_each(|out| self.remove(to, out));
                 self.ranks[to].push(expert);
                 self.holders[usize::from(expert)].push(to);
-                self.fresh[to] += usize::from(!self.before[to].contains(&expert));
-                self.weigh(expert);
+                self.new_experts[to] += usize::from(!self.initial[to].contains(&expert));
+                self.update_loads(expert);
             }
             Step::Drop { from, expert } => self.remove(from, expert),
         }
@@ -225,13 +240,13 @@
     fn remove(&mut self, from: usize, expert: u16) {
         self.ranks[from].retain(|held| *held != expert);
         self.holders[usize::from(expert)].retain(|rank| *rank != from);
-        self.fresh[from] -= usize::from(!self.before[from].contains(&expert));
+        self.new_experts[from] -= usize::from(!self.initial[from].contains(&expert));
         self.loads[from] = self.load(from);
-        self.weigh(expert);
+        self.update_loads(expert);
     }
 
     /// Loads of the ranks that hold an expert, anew.
-    fn weigh(&mut self, expert: u16) {
+    fn update_loads(&mut self, expert: u16) {
         for at in 0..self.holders[usize::from(expert)].len() {
             let rank = self.holders[usize::from(expert)][at];
             self.loads[rank] = self.load(rank);
@@ -239,15 +254,15 @@
     }
 
     /// The step that lowers the most loaded rank most, over the mean.
-    pub(super) fn best(&self, room: Room<'_>) -> Option<Move> {
-        let top = self.top();
+    pub(super) fn best_step(&self, limits: StepLimits<'_>) -> Option<ScoredStep> {
+        let top = self.most_loaded();
         let peak = *top.first()?;
         let (most, mean) = (self.loads[peak], self.mean.max(f64::MIN_POSITIVE));
         let second = top.get(1).map_or(most, |rank| self.loads[*rank]);
-        let mut changes = Changes::new();
-        let mut best: Option<Move> = None;
-        let mut weigh = |step: Step, least: f64| {
-            self.changes(step, &mut changes);
+        let mut changes = LoadChanges::new();
+        let mut best: Option<ScoredStep> = None;
+        let mut consider = |step: Step, min_gain: f64| {
+            self.load_changes(step, &mut changes);
             let after = |rank: usize| {
                 let change = changes.iter().find(|(changed, _)| *changed == rank);
                 self.loads[rank] + change.map_or(0.0, |(_, change)| *change)
@@ -257,25 +272,25 @@
             let others = top.iter().find(untouched).or(top.last());
             let others = others.map_or(0.0, |rank| self.loads[*rank]);
             let touched = changes.iter().map(|(rank, change)| self.loads[*rank] + change);
-            let most_then = touched.fold(others, f64::max);
+            let peak_after = touched.fold(others, f64::max);
             // Where two ranks are equally loaded, lowering one of them only
             // prepares the next step.
             let lowered = (most - after(peak)).min(most - second.min(most)).max(0.0);
-            let gain = (most - most_then + PREPARES * lowered) / mean;
-            if gain > least && best.is_none_or(|best| gain > best.gain) {
-                best = Some(Move { step, gain });
+            let gain = (most - peak_after + TIE_WEIGHT * lowered) / mean;
+            if gain > min_gain && best.is_none_or(|best| gain > best.gain) {
+                best = Some(ScoredStep { step, gain });
             }
         };
-        let targets = self.targets(room);
+        let targets = self.least_loaded(limits);
         for expert in self.ranks[peak].iter().copied() {
             if self.copies(expert) > 1 {
-                weigh(Step::Drop { from: peak, expert }, DROP_GAIN_LEAST);
+                consider(Step::Drop { from: peak, expert }, MIN_DROP_GAIN);
             }
             for to in targets.iter().copied().filter(|to| !self.holds(*to, expert)) {
-                let has_room = self.ranks[to].len() < room.places;
-                let evicted = if has_room { None } else { self.evictable(to, expert) };
-                if has_room || evicted.is_some() {
-                    weigh(Step::Copy { to, expert, evicted }, COPY_GAIN_LEAST);
+                let has_room = self.ranks[to].len() < limits.slots;
+                let evict = if has_room { None } else { self.eviction_candidate(to, expert) };
+                if has_room || evict.is_some() {
+                    consider(Step::Copy { to, expert, evict }, MIN_COPY_GAIN);
                 }
             }
         }
@@ -283,7 +298,7 @@
     }
 }
 
-fn add(changes: &mut Changes, rank: usize, change: f64) {
+fn add(changes: &mut LoadChanges, rank: usize, change: f64) {
     match changes.iter_mut().find(|(changed, _)| *changed == rank) {
         Some((_, so_far)) => *so_far += change,
         None => changes.push((rank, change)),
@@ -291,13 +306,13 @@
 }
 
 /// Skew of a set under a map, without what a plan needs besides.
-pub(super) fn skew(ranks: &[Vec<u16>], demand: &[f64], work: Work<'_>) -> f64 {
+pub(super) fn skew(ranks: &[Vec<u16>], demand: &[f64], work: Workload<'_>) -> f64 {
     let mut copies = vec![0_u32; demand.len()];
     ranks.iter().flatten().for_each(|expert| copies[usize::from(*expert)] += 1);
     let part =
         |expert: &u16| demand[usize::from(*expert)] / f64::from(copies[usize::from(*expert)]);
     let load = |(rank, experts): (usize, &Vec<u16>)| {
-        experts.iter().map(part).sum::<f64>() * work.pace.get(rank).copied().unwrap_or(1.0)
+        experts.iter().map(part).sum::<f64>() * work.slowdown.get(rank).copied().unwrap_or(1.0)
     };
     let most = ranks.iter().enumerate().map(load).fold(0.0, f64::max);
     let mean = demand.iter().sum::<f64>() / ranks.len().max(1) as f64;
--- a/crates/mastweir-core/src/experts/placement.rs
+++ b/crates/mastweir-core/src/experts/placement.rs
@@ -4,7 +4,7 @@
 
 /// A change of one slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct SlotChange {
     /// The rank.
     pub rank: RankNumber,
     /// The slot on it.
@@ -30,7 +30,7 @@
     }
 
     /// Experts in order over the ranks; slots left over repeat the first ones.
-    pub fn in_order(experts: usize, ranks: usize, slots: usize) -> Self {
+    pub fn sequential(experts: usize, ranks: usize, slots: usize) -> Self {
         let expert = |place| place % experts;
         let rank = |rank| (0..slots).map(|slot| expert(rank * slots + slot)).collect();
         Self::new((0..ranks).map(rank).collect(), experts)
@@ -47,18 +47,18 @@
     }
 
     /// Load of one copy of an expert.
-    pub fn part(&self, expert: Expert, demand: &[f64]) -> f64 {
+    pub fn copy_load(&self, expert: Expert, demand: &[f64]) -> f64 {
         demand[expert] / f64::from(self.copies[expert].max(1))
     }
 
     /// Load by rank.
     pub fn loads(&self, demand: &[f64]) -> Vec<f64> {
-        let load = |experts: &Vec<Expert>| experts.iter().map(|e| self.part(*e, demand)).sum();
+        let load = |experts: &Vec<Expert>| experts.iter().map(|e| self.copy_load(*e, demand)).sum();
         self.slots.iter().map(load).collect()
     }
 
     /// Makes a change. The expert that stood there must stand elsewhere too.
-    pub fn apply(&mut self, change: Change) {
+    pub fn apply(&mut self, change: SlotChange) {
         let slot = &mut self.slots[change.rank][change.slot];
         self.copies[*slot] -= 1;
         self.copies[change.expert] += 1;
@@ -67,7 +67,7 @@
 
     /// Slots that hold another expert in `other`, without regard to their order
     /// on a rank: what would have to be loaded.
-    pub fn loads_to(&self, other: &Self) -> usize {
+    pub fn loads_needed(&self, other: &Self) -> usize {
         let pairs = self.slots.iter().zip(&other.slots);
         pairs.map(|(from, to)| missing(from, to)).sum()
     }
--- a/crates/mastweir-core/src/experts/planner.rs
+++ b/crates/mastweir-core/src/experts/planner.rs
@@ -1,42 +1,47 @@
 //! Few changes, and only where they pay.
 
-use super::{Change, Demand, Placement, skew};
+use super::{Demand, Placement, SlotChange, skew};
 
 /// How much step-time skew weighs against the cost of rebalancing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weighting {
+pub struct PlannerConfig {
     /// Seconds for which a saving is taken to last.
     pub horizon_s: f64,
     /// Seconds of a group's time that loading one expert is worth.
-    pub load_s: f64,
-    /// Skew to spare: below it nothing is done.
-    pub spare: f64,
+    pub load_cost_s: f64,
+    /// Skew to min_skew: below it nothing is done.
+    pub min_skew: f64,
     /// Changes at once at most.
-    pub changes: usize,
+    pub max_changes: usize,
     /// Standard errors of the estimate that a saving has to exceed.
-    pub sure: f64,
+    pub confidence: f64,
 }
 
-impl Weighting {
+impl PlannerConfig {
     /// For a deployment that weighs skew more.
-    pub const SKEW: Self =
-        Self { horizon_s: 60.0, load_s: 0.12, spare: 1.02, changes: 12, sure: 2.5 };
+    pub const LOW_SKEW: Self = Self {
+        horizon_s: 60.0,
+        load_cost_s: 0.12,
+        min_skew: 1.02,
+        max_changes: 12,
+        confidence: 2.5,
+    };
     /// For a deployment that weighs the cost of rebalancing more.
-    pub const COST: Self =
-        Self { horizon_s: 60.0, load_s: 0.9, spare: 1.05, changes: 6, sure: 3.0 };
+    pub const LOW_COST: Self =
+        Self { horizon_s: 60.0, load_cost_s: 0.9, min_skew: 1.05, max_changes: 6, confidence: 3.0 };
 }
 
 /// Why a plan was made or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Worth its cost.
-    Worth,
+pub enum PlanReason {
+    /// Worthwhile its cost.
+    Worthwhile,
     /// The group is even enough.
-    Even,
+    Balanced,
     /// No change saves what it costs.
-    TooDear,
+    TooCostly,
     /// Too few reports, or a gap in them.
-    Uncertain,
+    InsufficientData,
     /// A rank is stalled: what looks like skew is not.
     Stalled,
 }
@@ -45,72 +50,72 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
     /// Why.
-    pub verdict: Verdict,
+    pub reason: PlanReason,
     /// Skew under the present placement, as estimated.
-    pub skew_now: f64,
+    pub skew_before: f64,
     /// Skew after the changes, as estimated.
-    pub skew_then: f64,
+    pub skew_after: f64,
     /// The changes.
-    pub changes: Vec<Change>,
+    pub changes: Vec<SlotChange>,
 }
 
 /// Plans changes for one group.
 #[derive(Clone, Copy, Debug)]
 pub struct Planner {
-    weighting: Weighting,
+    config: PlannerConfig,
 }
 
 /// Reports before the first plan.
 const REPORTS_MIN: u32 = 24;
 
 impl Planner {
-    /// A planner under a weighting.
-    pub const fn new(weighting: Weighting) -> Self {
-        Self { weighting }
+    /// A planner under a config.
+    pub const fn new(config: PlannerConfig) -> Self {
+        Self { config }
     }
 
     /// Plans from the demand and the present placement. `stalled`: a rank makes
     /// no progress, or reports are missing.
     pub fn plan(&self, demand: &Demand, placement: &Placement, stalled: bool) -> Decision {
         let by_expert = demand.by_expert();
-        let skew_now = skew(&placement.loads(by_expert));
+        let skew_before = skew(&placement.loads(by_expert));
         let nothing =
-            |verdict| Decision { verdict, skew_now, skew_then: skew_now, changes: Vec::new() };
+            |reason| Decision { reason, skew_before, skew_after: skew_before, changes: Vec::new() };
         if stalled {
-            return nothing(Verdict::Stalled);
+            return nothing(PlanReason::Stalled);
         }
         if demand.reports() < REPORTS_MIN {
-            return nothing(Verdict::Uncertain);
+            return nothing(PlanReason::InsufficientData);
         }
-        let noise = self.weighting.sure * error(demand, placement);
-        if skew_now <= self.weighting.spare.max(1.0 + noise) {
-            return nothing(Verdict::Even);
+        let noise = self.config.confidence * peak_load_error(demand, placement);
+        if skew_before <= self.config.min_skew.max(1.0 + noise) {
+            return nothing(PlanReason::Balanced);
         }
-        let (changes, skew_then) = self.search(by_expert, placement, skew_now);
+        let (changes, skew_after) = self.search(by_expert, placement, skew_before);
         // The slowest rank is the one whose estimate is furthest up by chance.
-        if changes.is_empty() || skew_now - skew_then < noise {
-            return nothing(Verdict::TooDear);
+        if changes.is_empty() || skew_before - skew_after < noise {
+            return nothing(PlanReason::TooCostly);
         }
-        Decision { verdict: Verdict::Worth, skew_now, skew_then, changes }
+        Decision { reason: PlanReason::Worthwhile, skew_before, skew_after, changes }
     }
 
     /// Adds changes one by one, each the best next one, and keeps the prefix
     /// with the largest net gain: a second change may be what makes the first
     /// one pay.
-    fn search(&self, demand: &[f64], from: &Placement, skew_now: f64) -> (Vec<Change>, f64) {
+    fn search(&self, demand: &[f64], from: &Placement, skew_before: f64) -> (Vec<SlotChange>, f64) {
         let mut placement = from.clone();
-        let mut changes: Vec<Change> = Vec::new();
-        let mut best = (0.0, 0, skew_now);
-        while changes.len() < self.weighting.changes {
+        let mut changes: Vec<SlotChange> = Vec::new();
+        let mut best = (0.0, 0, skew_before);
+        while changes.len() < self.config.max_changes {
             let Some(step) = best_step(demand, &placement) else { break };
             step.iter().for_each(|change| placement.apply(*change));
             changes.extend(step);
-            let then = skew(&placement.loads(demand));
-            let net = self.gain(skew_now, then) - self.cost(changes.len());
+            let after = skew(&placement.loads(demand));
+            let net = self.gain(skew_before, after) - self.cost(changes.len());
             if net > best.0 {
-                best = (net, changes.len(), then);
+                best = (net, changes.len(), after);
             }
-            if then <= self.weighting.spare {
+            if after <= self.config.min_skew {
                 break;
             }
         }
@@ -119,24 +124,24 @@
     }
 
     /// Seconds saved over the horizon: a group's time goes with its skew.
-    fn gain(&self, now: f64, then: f64) -> f64 {
-        self.weighting.horizon_s * (now - then) / now
+    fn gain(&self, before: f64, after: f64) -> f64 {
+        self.config.horizon_s * (before - after) / before
     }
 
     /// Seconds that the loads are worth.
     fn cost(&self, changes: usize) -> f64 {
-        self.weighting.load_s * changes as f64
+        self.config.load_cost_s * changes as f64
     }
 }
 
 /// Standard error of the slowest rank's load, over the mean load.
-fn error(demand: &Demand, placement: &Placement) -> f64 {
+fn peak_load_error(demand: &Demand, placement: &Placement) -> f64 {
     let loads = placement.loads(demand.by_expert());
     let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
     let slowest = (0..loads.len()).max_by(|a, b| loads[*a].total_cmp(&loads[*b]));
     let Some(slowest) = slowest.filter(|_| mean > 0.0) else { return 0.0 };
     let part = |expert: &usize| {
-        demand.error(*expert) / f64::from(placement.copies(*expert).max(1)).powi(2)
+        demand.estimate_variance(*expert) / f64::from(placement.copies(*expert).max(1)).powi(2)
     };
     placement.slots()[slowest].iter().map(part).sum::<f64>().sqrt() / mean
 }
@@ -144,13 +149,13 @@
 /// The change that lowers the slowest rank most: another copy of one of its
 /// experts, in the place of a copy that is not needed elsewhere, or a swap of
 /// one of its experts against a smaller one.
-fn best_step(demand: &[f64], placement: &Placement) -> Option<Vec<Change>> {
+fn best_step(demand: &[f64], placement: &Placement) -> Option<Vec<SlotChange>> {
     let loads = placement.loads(demand);
     let slowest = (0..loads.len()).max_by(|a, b| loads[*a].total_cmp(&loads[*b]))?;
     let copies = copy_steps(demand, placement, slowest);
     let swaps = swap_steps(demand, placement, slowest, &loads);
     // A swap takes two loads, so it has to be twice as good.
-    let score = |step: &Vec<Change>| {
+    let score = |step: &Vec<SlotChange>| {
         let mut next = placement.clone();
         step.iter().for_each(|change| next.apply(*change));
         let after = next.loads(demand);
@@ -166,16 +171,16 @@
 }
 
 /// Ranks that are looked at as targets: the least loaded ones.
-const TARGETS: usize = 6;
+const SWAP_TARGETS: usize = 6;
 
-fn lightest(loads: &[f64], but: usize) -> Vec<usize> {
-    let mut ranks: Vec<usize> = (0..loads.len()).filter(|rank| *rank != but).collect();
+fn least_loaded(loads: &[f64], except: usize) -> Vec<usize> {
+    let mut ranks: Vec<usize> = (0..loads.len()).filter(|rank| *rank != except).collect();
     ranks.sort_by(|a, b| loads[*a].total_cmp(&loads[*b]));
-    ranks.truncate(TARGETS);
+    ranks.truncate(SWAP_TARGETS);
     ranks
 }
 
-fn copy_steps(demand: &[f64], placement: &Placement, slowest: usize) -> Vec<Vec<Change>> {
+fn copy_steps(demand: &[f64], placement: &Placement, slowest: usize) -> Vec<Vec<SlotChange>> {
     let hot = &placement.slots()[slowest];
     let mut steps = Vec::new();
     for (rank, experts) in placement.slots().iter().enumerate() {
@@ -186,11 +191,11 @@
         let spare = (0..experts.len()).filter(|slot| placement.copies(experts[*slot]) > 1);
         let shift = |slot: &usize| {
             let expert = experts[*slot];
-            placement.part(expert, demand) / f64::from(placement.copies(expert) - 1)
+            placement.copy_load(expert, demand) / f64::from(placement.copies(expert) - 1)
         };
         let Some(slot) = spare.min_by(|a, b| shift(a).total_cmp(&shift(b))) else { continue };
-        let news = hot.iter().filter(|expert| !experts.contains(expert));
-        steps.extend(news.map(|expert| vec![Change { rank, slot, expert: *expert }]));
+        let candidates = hot.iter().filter(|expert| !experts.contains(expert));
+        steps.extend(candidates.map(|expert| vec![SlotChange { rank, slot, expert: *expert }]));
     }
     steps
 }
@@ -200,18 +205,18 @@
     placement: &Placement,
     slowest: usize,
     loads: &[f64],
-) -> Vec<Vec<Change>> {
+) -> Vec<Vec<SlotChange>> {
     let hot = &placement.slots()[slowest];
     let mut steps = Vec::new();
-    for rank in lightest(loads, slowest) {
+    for rank in least_loaded(loads, slowest) {
         let experts = &placement.slots()[rank];
         for (from, a) in hot.iter().enumerate() {
             for (slot, b) in experts.iter().enumerate() {
-                let less = placement.part(*b, demand) < placement.part(*a, demand);
+                let less = placement.copy_load(*b, demand) < placement.copy_load(*a, demand);
                 let fresh = !experts.contains(a) && !hot.contains(b);
                 if less && fresh {
-                    let there = Change { rank, slot, expert: *a };
-                    let here = Change { rank: slowest, slot: from, expert: *b };
+                    let there = SlotChange { rank, slot, expert: *a };
+                    let here = SlotChange { rank: slowest, slot: from, expert: *b };
                     steps.push(vec![there, here]);
                 }
             }
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -13,9 +13,9 @@
 };
 use mastweir_core::{
     experts::{
-        Work,
-        layers::{Planning, mean_skew},
-        recent::RecentDemand,
+        Workload,
+        layer_planner::{Planning, mean_skew},
+        recent_demand::RecentDemand,
     },
     switch::{
         OrderLoss,
@@ -220,7 +220,7 @@
         let Some((demand, pace, load)) = self.demand(states.len()) else { return };
         let shifts = self.shifts_seen();
         let began = self.sidecar.clock.now();
-        let work = Work { demand: &demand, pace: &pace };
+        let work = Workload { demand: &demand, slowdown: &pace };
         let pressure = plan::pressure(&model, load, states.len());
         let mut planning = Planning::new(plan::planner(&model), &map, work, pressure);
         while !planning.advance(PLAN_STEPS) {
@@ -229,10 +229,10 @@
         let Some(plan) = planning.finish().filter(|_| shifts == self.shifts_seen()) else { return };
         let took = self.sidecar.clock.now().since(began);
         info!(self.sidecar.log, "map planned"; "group" => &self.shared.group,
-            "loads" => plan.loads, "moved" => plan.moved,
+            "loads" => plan.max_loads, "moved" => plan.total_loads,
             "pressure" => format!("{pressure:.2}"), "took_ms" => took.as_millis() as u64,
-            "skew_now" => format!("{:.3}", plan.skew_now),
-            "skew_then" => format!("{:.3}", plan.skew_then));
+            "skew_now" => format!("{:.3}", plan.skew_before),
+            "skew_then" => format!("{:.3}", plan.skew_after));
         self.want(Arc::new(plan.map));
     }
 
@@ -241,7 +241,7 @@
     fn demand(&self, ranks: usize) -> Option<(Vec<Vec<f64>>, Vec<f64>, u32)> {
         let known = self.shared.known.borrow();
         let now = self.sidecar.clock.now();
-        let demand = known.demand.as_ref().filter(|demand| demand.is_known(now))?;
+        let demand = known.demand.as_ref().filter(|demand| demand.is_ready(now))?;
         Some((demand.by_set(), known.ranks.paces(ranks), known.ranks.load()))
     }
 
@@ -255,7 +255,7 @@
         let Some((_, map)) = &self.map else { return };
         let Some(model) = self.sidecar.model.borrow().clone() else { return };
         let Some((demand, pace, load)) = self.demand(ranks) else { return };
-        let skew = mean_skew(map, Work { demand: &demand, pace: &pace });
+        let skew = mean_skew(map, Workload { demand: &demand, slowdown: &pace });
         let running = f64::from(load) / ranks.max(1) as f64;
         let pass_ms = model.pass.pass_ms(running, skew) as u32;
         self.paced = now;
--- a/src/mastweir/sidecar/known.rs
+++ b/src/mastweir/sidecar/known.rs
@@ -4,7 +4,7 @@
 use super::{answers::add_counts, ranks::Ranks};
 use crate::gateway::message::{Counts, GroupView, Message, RankBrief};
 use mastweir_core::{
-    experts::recent::RecentDemand,
+    experts::recent_demand::RecentDemand,
     gateway::Model,
     switch::sections::{Member, Members, Section, sections},
     time::Uptime,
@@ -110,7 +110,7 @@
         let new = || RecentDemand::new(model.sets, model.experts, POLL_EVERY);
         let demand = self.demand.get_or_insert_with(new);
         self.experts = model.experts;
-        let all = !demand.is_known(now) || model.sets * model.experts <= COUNTS_ASKED;
+        let all = !demand.is_ready(now) || model.sets * model.experts <= COUNTS_ASKED;
         let some = (COUNTS_ASKED / model.experts.max(1)).max(1);
         let first = if all || self.next >= model.sets { 0 } else { self.next };
         let count = if all { model.sets } else { some.min(model.sets - first) };
--- a/src/mastweir/sidecar/mod.rs
+++ b/src/mastweir/sidecar/mod.rs
@@ -5,7 +5,7 @@
 //! (`poll`), and carries out orders (`carry`). One sidecar of each group is the
 //! coordinator (`lead`): `polling` asks the ranks, `known` and `ranks` are what they said,
 //! `coordinate` goes step by step, `orders` gives orders. What it decides is in
-//! [`mastweir_core::switch`] and [`mastweir_core::experts::layers`].
+//! [`mastweir_core::switch`] and [`mastweir_core::experts::layer_planner`].
 
 pub mod answers;
 mod carry;
--- a/src/mastweir/sidecar/plan.rs
+++ b/src/mastweir/sidecar/plan.rs
@@ -1,7 +1,7 @@
 //! What goes into a plan: the group's map, its pressure, and the planner's weights.
 
 use mastweir_core::{
-    experts::layers::LayerPlanner,
+    experts::layer_planner::LayerPlanner,
     gateway::Model,
     switch::map_change::{GroupMap, RankExperts},
 };
@@ -56,12 +56,12 @@
 /// The planner for a model's groups.
 pub fn planner(model: &Model) -> LayerPlanner {
     LayerPlanner {
-        places: model.places,
-        fresh: model.fresh,
+        slots: model.places,
+        max_new: model.fresh,
         load_s: model.load_s,
         horizon_s: HORIZON_S,
         load_cost: MB_COST * model.load_mb,
         change_cost: CHANGE_COST,
-        load_slows: LOAD_SLOWS,
+        load_slowdown: LOAD_SLOWS,
     }
 }
--- a/tests/testsuite/plans.rs
+++ b/tests/testsuite/plans.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use mastweir_core::{
     experts::{
-        Work,
-        layers::{LayerPlanner, Planning, mean_skew},
-        recent::RecentDemand,
+        Workload,
+        layer_planner::{LayerPlanner, Planning, mean_skew},
+        recent_demand::RecentDemand,
     },
     time::Uptime,
 };
@@ -23,17 +23,17 @@
 }
 
 const PLANNER: LayerPlanner = LayerPlanner {
-    places: 11,
-    fresh: 4,
+    slots: 11,
+    max_new: 4,
     load_s: 0.15,
     horizon_s: 2.5,
     load_cost: 0.007,
     change_cost: 0.007,
-    load_slows: 0.15,
+    load_slowdown: 0.15,
 };
 
-fn usual(demand: &[Vec<f64>]) -> Work<'_> {
-    Work { demand, pace: &[] }
+fn usual(demand: &[Vec<f64>]) -> Workload<'_> {
+    Workload { demand, slowdown: &[] }
 }
 
 /// All ranks wait for one that is five times slower.
@@ -41,7 +41,7 @@
 fn a_slow_rank_is_relieved_and_taken_back() {
     let demand = vec![steep(0), steep(17)];
     let mut map = in_turn();
-    let slow = Work { demand: &demand, pace: &[1.0, 1.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0] };
+    let slow = Workload { demand: &demand, slowdown: &[1.0, 1.0, 5.0, 1.0, 1.0, 1.0, 1.0, 1.0] };
     let before = mean_skew(&map, slow);
     for _ in 0..6 {
         let Some(plan) = PLANNER.plan(&map, slow, 1.0) else { break };
@@ -52,7 +52,7 @@
     for set in &map {
         let held: std::collections::HashSet<u16> = set.iter().flatten().copied().collect();
         expect_that!(held.len(), eq(64));
-        expect_that!(set.iter().all(|rank| rank.len() <= PLANNER.places), eq(true));
+        expect_that!(set.iter().all(|rank| rank.len() <= PLANNER.slots), eq(true));
     }
     // Once it is as quick as the others it carries its part again.
     for _ in 0..6 {
@@ -67,9 +67,9 @@
     let demand = vec![steep(0), steep(17)];
     let map = in_turn();
     let plan = PLANNER.plan(&map, usual(&demand), 1.0).expect("so steep a demand is worth a plan");
-    expect_that!(plan.skew_now, gt(2.0));
-    expect_that!(plan.skew_then, lt(1.6));
-    expect_that!(mean_skew(&plan.map, usual(&demand)), approx_eq(plan.skew_then));
+    expect_that!(plan.skew_before, gt(2.0));
+    expect_that!(plan.skew_after, lt(1.6));
+    expect_that!(mean_skew(&plan.map, usual(&demand)), approx_eq(plan.skew_after));
     for (set, before) in plan.map.iter().zip(&map) {
         let held: std::collections::HashSet<u16> = set.iter().flatten().copied().collect();
         expect_that!(held.len(), eq(64));
@@ -78,9 +78,9 @@
             sorted.sort_unstable();
             sorted.dedup();
             expect_that!(sorted.len(), eq(rank.len()));
-            expect_that!(rank.len(), le(PLANNER.places));
+            expect_that!(rank.len(), le(PLANNER.slots));
             let fresh = rank.iter().filter(|expert| !before.contains(expert)).count();
-            expect_that!(fresh, le(PLANNER.fresh));
+            expect_that!(fresh, le(PLANNER.max_new));
         }
     }
 }
@@ -109,7 +109,7 @@
         demand.add(0, &counts(0, &mut rng), now);
         now = now + Duration::from_millis(200);
     }
-    expect_that!(demand.is_known(now), eq(true));
+    expect_that!(demand.is_ready(now), eq(true));
     expect_that!(demand.shifts(), le(1));
     let before = demand.shifts();
     for _ in 0..3 {
@@ -138,10 +138,10 @@
     let mixed: Vec<u32> = old.iter().zip(&new).map(|(old, new)| (old + 3 * new) / 4).collect();
     (0..2).for_each(|_| demand.add(0, &mixed, now));
     expect_that!(demand.shifts(), eq(1));
-    expect_that!(demand.is_known(now), eq(false));
+    expect_that!(demand.is_ready(now), eq(false));
     now = now + Duration::from_millis(100);
     (0..2).for_each(|_| demand.add(0, &new, now));
-    expect_that!(demand.is_known(now), eq(true));
+    expect_that!(demand.is_ready(now), eq(true));
     let estimate = &demand.by_set()[0];
     // As rare as all others: nothing of the mixed report is left.
     expect_that!(estimate[3], approx_eq(estimate[4]));
@@ -164,26 +164,26 @@
 #[googletest::test]
 fn one_plan_evens_a_large_group() {
     let planner =
-        LayerPlanner { places: 3, fresh: 2, load_s: 0.018, load_cost: 0.000_9, ..PLANNER };
+        LayerPlanner { slots: 3, max_new: 2, load_s: 0.018, load_cost: 0.000_9, ..PLANNER };
     for (ranks, experts) in [(96, 192), (64, 128), (12, 96)] {
         let experts_of = usize::from(experts);
         let demand: Vec<Vec<f64>> =
             (0..16).map(|set| steep_large(set * 11)[..experts_of].to_vec()).collect();
         let map = dealt(experts, ranks, 16);
-        let places = experts_of / usize::from(ranks) + 1;
-        let planner = LayerPlanner { places, ..planner };
+        let slots = experts_of / usize::from(ranks) + 1;
+        let planner = LayerPlanner { slots, ..planner };
         let plan = planner.plan(&map, usual(&demand), 1.0).expect("a plan");
         let before = mean_skew(&map, usual(&demand));
-        expect_that!(plan.skew_now, approx_eq(before));
-        expect_that!(mean_skew(&plan.map, usual(&demand)), approx_eq(plan.skew_then));
-        expect_that!(plan.skew_then - 1.0, lt(0.3 * (before - 1.0)), "{ranks} ranks: {before}");
+        expect_that!(plan.skew_before, approx_eq(before));
+        expect_that!(mean_skew(&plan.map, usual(&demand)), approx_eq(plan.skew_after));
+        expect_that!(plan.skew_after - 1.0, lt(0.3 * (before - 1.0)), "{ranks} ranks: {before}");
         for (set, before) in plan.map.iter().zip(&map) {
             let held: std::collections::HashSet<u16> = set.iter().flatten().copied().collect();
             expect_that!(held.len(), eq(experts_of));
             for (rank, before) in set.iter().zip(before) {
-                expect_that!(rank.len(), le(planner.places));
+                expect_that!(rank.len(), le(planner.slots));
                 let fresh = rank.iter().filter(|expert| !before.contains(expert)).count();
-                expect_that!(fresh, le(planner.fresh));
+                expect_that!(fresh, le(planner.max_new));
             }
         }
     }
@@ -192,7 +192,7 @@
 /// A plan that is made in parts is the same as one made at once.
 #[googletest::test]
 fn a_plan_in_parts_is_the_same_plan() {
-    let planner = LayerPlanner { places: 3, fresh: 2, load_s: 0.018, ..PLANNER };
+    let planner = LayerPlanner { slots: 3, max_new: 2, load_s: 0.018, ..PLANNER };
     let demand: Vec<Vec<f64>> = (0..4).map(|set| steep_large(set * 31)).collect();
     let map = dealt(192, 96, 4);
     let whole = planner.plan(&map, usual(&demand), 0.7);
