--- a/crates/mastweir-bench/src/sim/limits.rs
+++ b/crates/mastweir-bench/src/sim/limits.rs
@@ -4,7 +4,7 @@
 //! have heard of the limit from the start; other servers carry what this one does not take.
 
 use mastweir_core::{
-    gateway::{Lender, TOKEN_LASTS, lender_of},
+    gateway::{PERMIT_LIFETIME, PermitIssuer, issuer_of},
     time::Uptime,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -103,7 +103,7 @@
     wants: u32,
     asked_ms: u64,
     awaited_ms: u64,
-    lender: Lender,
+    lender: PermitIssuer,
     messages: u64,
 }
 
@@ -120,7 +120,7 @@
             wants: 0,
             asked_ms: 0,
             awaited_ms: 0,
-            lender: Lender::default(),
+            lender: PermitIssuer::default(),
             messages: 0,
         }
     }
@@ -240,7 +240,7 @@
         };
         let near = speakers(0);
         let own = if near.is_empty() { speakers(self.gateways[number].hall) } else { near };
-        lender_of(SERVER, &own)
+        issuer_of(SERVER, &own)
     }
 
     fn tend(&mut self, number: usize) {
@@ -292,7 +292,7 @@
             Way::Split => gateway.takes_own(part, most.min(1.0 + part), now),
             Way::SplitLapses => {
                 // What is left over half a second behind the token's moment is lost.
-                let lapses = 1.0 + part * TOKEN_LASTS.as_secs_f64();
+                let lapses = 1.0 + part * PERMIT_LIFETIME.as_secs_f64();
                 let earned = gateway.saved + part * (now - gateway.at_ms) as f64 / 1e3;
                 gateway.saved = if earned > lapses { earned.fract() } else { earned };
                 gateway.at_ms = now;
@@ -329,7 +329,7 @@
         }
         let gateway = &mut self.gateways[number];
         gateway.awaited_ms = now_ms + millis(loan.wait);
-        let until = now_ms + millis(TOKEN_LASTS);
+        let until = now_ms + millis(PERMIT_LIFETIME);
         gateway.tokens.extend((1..loan.count).map(|_| until));
         loan.count > 0
     }
--- a/crates/mastweir-core/src/gateway/choice.rs
+++ b/crates/mastweir-core/src/gateway/choice.rs
@@ -9,8 +9,8 @@
     directory::Server,
     fit::Fit,
     fleet::Fleet,
-    notices::Bar,
     seen::{REPORT_LASTS, Told},
+    server_notices::Exclusion,
 };
 use crate::time::Uptime;
 use rand::Rng;
@@ -170,7 +170,7 @@
     /// Whether a server may get a request for which a token was lent.
     fn is_usable(&self, id: &String, needs: Needs<'_>, now: Uptime) -> bool {
         let ready = self.roster.ready(needs.service);
-        let is_limited = matches!(self.bar(id, now), Some(Bar::Limited(_)));
+        let is_limited = matches!(self.bar(id, now), Some(Exclusion::Limited(_)));
         if !is_limited || needs.tried.contains(id) || !ready.contains(id) {
             return false;
         }
@@ -186,9 +186,9 @@
     /// for a time.
     fn barred(&self, ids: &[String], now: Uptime) -> Option<Refusal> {
         let refusals = ids.iter().filter_map(|id| match self.bar(id, now)? {
-            Bar::Backoff(left) => Some((left, Refusal::Backoff(left))),
-            Bar::Limited(left) => Some((left, Refusal::Limited(left))),
-            Bar::Leaving => None,
+            Exclusion::Backoff(left) => Some((left, Refusal::Backoff(left))),
+            Exclusion::Limited(left) => Some((left, Refusal::Limited(left))),
+            Exclusion::Leaving => None,
         });
         refusals.min_by_key(|(left, _)| *left).map(|(_, refusal)| refusal)
     }
--- a/crates/mastweir-core/src/gateway/fingerprint.rs
+++ b/crates/mastweir-core/src/gateway/fingerprint.rs
@@ -20,7 +20,7 @@
 
 /// What a fingerprint is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RequestParts<'a> {
     /// The customer whose key it carried; empty without one.
     pub customer: &'a str,
     /// Its host.
@@ -33,7 +33,7 @@
 
 impl Fingerprint {
     /// The fingerprint of a request.
-    pub fn of(asked: Asked<'_>) -> Self {
+    pub fn of(asked: RequestParts<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         for part in [asked.customer, asked.host, asked.path] {
             hasher.update(part.as_bytes());
--- a/crates/mastweir-core/src/gateway/fleet.rs
+++ b/crates/mastweir-core/src/gateway/fleet.rs
@@ -7,11 +7,11 @@
 use super::{
     admission::Crowd,
     directory::{Directory, DirectoryChange, Server},
-    notices::{Bar, Notices},
-    rate_limits::{LimitChange, LimitWord, Limited, Rate, RateLimits},
+    permit_pool::PermitPool,
+    rate_limits::{LimitChange, LimitReport, LimitUpdate, Rate, RateLimits},
     roster::Roster,
     seen::{REPORT_LASTS, SILENT_FROM, Seen, Told},
-    tokens::Tokens,
+    server_notices::{Exclusion, ServerNotices},
 };
 use crate::{revision::Revision, time::Uptime};
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
@@ -39,11 +39,11 @@
     pub(super) roster: Roster,
     pub(super) seen: HashMap<String, Seen>,
     /// What servers said of themselves in their answers.
-    pub(super) notices: Notices,
+    pub(super) notices: ServerNotices,
     /// Limits that they named there.
     pub(super) limits: RateLimits,
     /// Tokens for servers that name one.
-    pub(super) tokens: Tokens,
+    pub(super) tokens: PermitPool,
     /// What each group's coordinator said of its passes.
     pub(super) paces: HashMap<String, Pace>,
     /// Loads of the services' servers, by what was last asked for.
@@ -142,7 +142,7 @@
         }
         // Reports that never named a limit say nothing of one.
         seen.reports_limit |= told.limit.is_some();
-        let word = LimitWord::read(told.limit, now - age);
+        let word = LimitReport::read(told.limit, now - age);
         let limit =
             if seen.reports_limit { self.limits.heard(id, told.born, word, now) } else { None };
         let leaves = told.leaving && self.notices.leaves(id, told.born, now);
@@ -268,14 +268,14 @@
         &mut self,
         id: &str,
         born: u64,
-        word: LimitWord,
+        word: LimitReport,
         now: Uptime,
     ) -> Option<LimitChange> {
         if self.is_over(id, born) { None } else { self.limits.heard(id, born, word, now) }
     }
 
     /// Limits to be told to other gateways: what changed a moment ago, or `all` that holds.
-    pub fn limits_told(&self, all: bool, now: Uptime) -> Vec<Limited> {
+    pub fn limits_told(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
         self.limits.told(all, now)
     }
 
@@ -285,14 +285,16 @@
     }
 
     /// Why a server gets no requests, by what it said itself, if so.
-    pub fn bar(&self, id: &str, now: Uptime) -> Option<Bar> {
+    pub fn bar(&self, id: &str, now: Uptime) -> Option<Exclusion> {
         // Most of the time none has said anything, and each choice asks for all servers.
         if self.notices.is_empty() && self.limits.is_empty() {
             return None;
         }
         let born = self.seen.get(id).map_or(0, |seen| seen.born);
         let bar = self.notices.bar(id, born, now);
-        bar.or_else(|| self.limits.of(id, born).map(|_| Bar::Limited(self.tokens.wait(id, now))))
+        bar.or_else(|| {
+            self.limits.of(id, born).map(|_| Exclusion::Limited(self.tokens.wait(id, now)))
+        })
     }
 
     /// Whether any server names a limit.
@@ -314,7 +316,7 @@
     pub fn tokens_missing(&self, service: &str, now: Uptime) -> Vec<&Server> {
         let ready = self.roster.ready(service).iter();
         let is_missing = |id: &&String| {
-            let is_limited = matches!(self.bar(id, now), Some(Bar::Limited(_)));
+            let is_limited = matches!(self.bar(id, now), Some(Exclusion::Limited(_)));
             is_limited && self.tokens.is_missing(id, now)
         };
         ready.filter(is_missing).filter_map(|id| self.roster.server(id)).collect()
@@ -340,8 +342,8 @@
     pub fn may_send(&mut self, id: &str, lent: bool, now: Uptime) -> bool {
         match self.bar(id, now) {
             None => true,
-            Some(Bar::Limited(_)) => lent || self.tokens.take(id, now),
-            Some(Bar::Leaving | Bar::Backoff(_)) => false,
+            Some(Exclusion::Limited(_)) => lent || self.tokens.take(id, now),
+            Some(Exclusion::Leaving | Exclusion::Backoff(_)) => false,
         }
     }
 
--- a/crates/mastweir-core/src/gateway/liveness.rs
+++ b/crates/mastweir-core/src/gateway/liveness.rs
@@ -10,7 +10,7 @@
 
 /// A probe without an answer has missed after this time: four times the answer of a store
 /// that is fifty times slower than usual.
-pub const PROBE_LASTS: Duration = Duration::from_millis(800);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Pause after a probe that missed: with the wait for its answer, a watch lost in an outage
 /// is placed anew within 1.2 s of the store's return. By its own end alone it took 9.5 s at
 /// a gateway and up to 310 s at an entry, and changes were in force as much later.
@@ -18,9 +18,9 @@
 
 /// What came of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// An answer, with nothing that the watch lacks.
-    Same,
+    Unchanged,
     /// An answer, with something that the watch lacks.
     Newer,
     /// No answer, or a refusal.
@@ -29,11 +29,11 @@
 
 /// Why a watch is not to be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum WatchFailure {
     /// The store answers again after it did not.
     Outage,
     /// The store has changes that the watch did not bring.
-    Deaf,
+    Stalled,
 }
 
 /// What the probes beside one watch have shown.
@@ -46,13 +46,13 @@
     /// Takes a probe in; says if the watch has to be given up.
     ///
     /// While probes miss, the watch is kept: nothing better can be had.
-    pub fn probed(&mut self, probe: Probe) -> Option<Doubt> {
-        let was_silent = std::mem::replace(&mut self.silent, probe == Probe::Missed);
+    pub fn probed(&mut self, probe: ProbeResult) -> Option<WatchFailure> {
+        let was_silent = std::mem::replace(&mut self.silent, probe == ProbeResult::Missed);
         match probe {
-            Probe::Missed => None,
-            Probe::Same | Probe::Newer if was_silent => Some(Doubt::Outage),
-            Probe::Newer => Some(Doubt::Deaf),
-            Probe::Same => None,
+            ProbeResult::Missed => None,
+            ProbeResult::Unchanged | ProbeResult::Newer if was_silent => Some(WatchFailure::Outage),
+            ProbeResult::Newer => Some(WatchFailure::Stalled),
+            ProbeResult::Unchanged => None,
         }
     }
 
--- a/crates/mastweir-core/src/gateway/peers.rs
+++ b/crates/mastweir-core/src/gateway/peers.rs
@@ -13,7 +13,7 @@
 //! One that was heard itself lives for a while. One that another named is greeted, but
 //! not named on: otherwise the dead would be named in a circle for ever.
 
-use super::{lender::lender_of, window::GATEWAYS_LEAST};
+use super::{permit_issuer::issuer_of, retry_window::GATEWAYS_LEAST};
 use crate::time::Uptime;
 use serde::{Deserialize, Serialize};
 use std::{
@@ -52,7 +52,7 @@
 
 /// A gateway, as others name it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct PeerInfo {
     /// Its address.
     pub ip: IpAddr,
     /// Its hall.
@@ -63,7 +63,7 @@
 
 /// What a gateway says of itself and of what it hears.
 #[derive(Clone, Copy, Debug)]
-pub struct Said {
+pub struct PeerState {
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether it wants to be told what speakers tell.
@@ -76,7 +76,7 @@
 
 #[derive(Clone, Debug)]
 struct Peer {
-    is: Named,
+    is: PeerInfo,
     named: Uptime,
     heard: Option<Uptime>,
     /// Since when it was greeted without an answer.
@@ -85,7 +85,7 @@
 }
 
 impl Peer {
-    fn new(is: Named, named: Uptime) -> Self {
+    fn new(is: PeerInfo, named: Uptime) -> Self {
         Self { is, named, heard: None, unanswered: None, leaving: false }
     }
 
@@ -103,7 +103,7 @@
 /// Other gateways.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    own: Named,
+    own: PeerInfo,
     peers: HashMap<IpAddr, Peer>,
     followers: BTreeMap<IpAddr, Uptime>,
     /// Gateways of other halls that speak, as they say themselves.
@@ -120,7 +120,7 @@
 
 impl Peers {
     /// A gateway that knows no other.
-    pub fn new(own: Named) -> Self {
+    pub fn new(own: PeerInfo) -> Self {
         Self {
             own,
             peers: HashMap::new(),
@@ -134,7 +134,7 @@
     }
 
     /// One was heard.
-    pub fn heard(&mut self, is: Named, said: Said, now: Uptime) {
+    pub fn heard(&mut self, is: PeerInfo, said: PeerState, now: Uptime) {
         let ip = is.ip;
         if said.follows || said.leaving {
             // One that leaves still serves: told no more, it would take all servers for
@@ -159,7 +159,7 @@
     }
 
     /// One was named by another.
-    pub fn named(&mut self, is: Named, now: Uptime) {
+    pub fn named(&mut self, is: PeerInfo, now: Uptime) {
         if is.ip == self.own.ip {
             return;
         }
@@ -189,10 +189,10 @@
     }
 
     /// Gateways of a hall in their order, this one included.
-    fn ranked(&self, hall: &str, fits: impl Fn(&Peer) -> bool) -> Vec<&Named> {
+    fn ranked(&self, hall: &str, fits: impl Fn(&Peer) -> bool) -> Vec<&PeerInfo> {
         let others = self.peers.values().filter(|peer| peer.is.hall == hall && fits(peer));
         let own = Some(&self.own).filter(|own| own.hall == hall);
-        let mut ranked: Vec<&Named> = others.map(|peer| &peer.is).chain(own).collect();
+        let mut ranked: Vec<&PeerInfo> = others.map(|peer| &peer.is).chain(own).collect();
         ranked.sort_by(|a, b| b.power.cmp(&a.power).then(a.ip.cmp(&b.ip)));
         ranked
     }
@@ -233,7 +233,7 @@
 
     /// Whether this gateway lends for a server of a hall, by which gateways it hears.
     pub fn lends(&self, server: &str, hall: &str, now: Uptime) -> bool {
-        lender_of(server, &self.lenders(hall, now)) == Some(self.own.ip)
+        issuer_of(server, &self.lenders(hall, now)) == Some(self.own.ip)
     }
 
     /// The part of a limit that this gateway may lend for servers of a hall: that of the
@@ -286,7 +286,7 @@
     }
 
     /// The first gateways of each hall, as far as they are heard here.
-    pub fn known(&self, now: Uptime) -> Vec<Named> {
+    pub fn known(&self, now: Uptime) -> Vec<PeerInfo> {
         let halls = self.halls();
         let first = halls.iter().flat_map(|hall| {
             let ranked = self.ranked(hall, |peer| peer.is_heard(now) && peer.is_eligible(now));
--- a/crates/mastweir-core/src/gateway/lender.rs
+++ b/crates/mastweir-core/src/gateway/permit_issuer.rs
@@ -2,7 +2,7 @@
 //!
 //! A limit binds all gateways together, so one of them counts: whoever wants to send a request
 //! to the server borrows a token from it. Which one it is follows from the speakers of the
-//! server's hall, as each gateway knows them ([`lender_of`]); nobody is elected. Where two
+//! server's hall, as each gateway knows them ([`issuer_of`]); nobody is elected. Where two
 //! differ in that, neither lends: one that becomes the lender waits until whoever lent before
 //! knows it, and begins with nothing, as does one that has just started. Cut off from others,
 //! it lends the part of the limit that is theirs, by their number, to nobody
@@ -15,7 +15,7 @@
 /// counts the others, and is counted by them, for 4 s, of which 0.9 s have passed by then.
 pub const HANDOVER: Duration = Duration::from_secs(3);
 /// A token is good for this long from when it was asked for.
-pub const TOKEN_LASTS: Duration = Duration::from_millis(500);
+pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 /// What a server takes in this time is saved for it at most, and one request.
 const SAVED: Duration = Duration::from_millis(250);
 /// Requests a second that a server gets whose limit is lower, or none at all: it tells that the
@@ -27,14 +27,14 @@
 const ELSEWHERE: Duration = Duration::from_millis(300);
 
 /// The one among some gateways that lends for a server.
-pub fn lender_of(server: &str, lenders: &[IpAddr]) -> Option<IpAddr> {
+pub fn issuer_of(server: &str, lenders: &[IpAddr]) -> Option<IpAddr> {
     let score = |ip: &IpAddr| *blake3::hash(format!("{server}/{ip}").as_bytes()).as_bytes();
     lenders.iter().copied().max_by_key(score)
 }
 
 /// What is lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Loan {
+pub struct PermitGrant {
     /// Tokens.
     pub count: u32,
     /// Where there are none: when one may be lent.
@@ -54,9 +54,9 @@
 
 /// What a gateway lends out, by server.
 #[derive(Clone, Debug, Default)]
-pub struct Lender(HashMap<String, Bucket>);
+pub struct PermitIssuer(HashMap<String, Bucket>);
 
-impl Lender {
+impl PermitIssuer {
     /// Takes up the servers that fall to this gateway from now on, and drops the others.
     pub fn tend<'a>(&mut self, own: impl Iterator<Item = &'a str>, now: Uptime) {
         let mut before = std::mem::take(&mut self.0);
@@ -68,9 +68,9 @@
     }
 
     /// Lends some of what a server takes, at so many requests a second.
-    pub fn lend(&mut self, id: &str, per_s: f64, wanted: u32, now: Uptime) -> Loan {
+    pub fn lend(&mut self, id: &str, per_s: f64, wanted: u32, now: Uptime) -> PermitGrant {
         let Some(bucket) = self.0.get_mut(id) else {
-            return Loan { count: 0, wait: ELSEWHERE };
+            return PermitGrant { count: 0, wait: ELSEWHERE };
         };
         let per_s = per_s.max(LEAST_PER_S);
         let most = 1.0 + per_s * SAVED.as_secs_f64();
@@ -78,14 +78,14 @@
         bucket.saved = (bucket.saved + earned).min(most);
         bucket.at = bucket.at.max(now);
         if now < bucket.since {
-            return Loan { count: 0, wait: bucket.since.since(now).min(WAIT_MAX) };
+            return PermitGrant { count: 0, wait: bucket.since.since(now).min(WAIT_MAX) };
         }
         let count = wanted.min(bucket.saved as u32);
         if count > 0 {
             bucket.saved -= f64::from(count);
-            return Loan { count, wait: Duration::ZERO };
+            return PermitGrant { count, wait: Duration::ZERO };
         }
-        Loan { count: 0, wait: bucket.promise(per_s, now) }
+        PermitGrant { count: 0, wait: bucket.promise(per_s, now) }
     }
 }
 
--- a/crates/mastweir-core/src/gateway/tokens.rs
+++ b/crates/mastweir-core/src/gateway/permit_pool.rs
@@ -8,14 +8,14 @@
 
 /// Tokens, and when the next one is worth asking for, by server.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Tokens {
+pub(super) struct PermitPool {
     /// When each of them lapses.
     held: HashMap<String, Vec<Uptime>>,
     /// None is lent before that.
     awaited: HashMap<String, Uptime>,
 }
 
-impl Tokens {
+impl PermitPool {
     /// Servers for which one is held.
     pub(super) fn held(&self, now: Uptime) -> impl Iterator<Item = &String> {
         let lives = move |until: &Uptime| *until > now;
--- a/crates/mastweir-core/src/gateway/borrower.rs
+++ b/crates/mastweir-core/src/gateway/permit_requester.rs
@@ -1,13 +1,13 @@
 //! Borrowing tokens for servers that name a limit.
 //!
 //! Requests that come for a service with such servers are wants; they are asked for together,
-//! from the gateway that lends for the server ([`Lender`](super::Lender)). Each gateway finds
+//! from the gateway that lends for the server ([`PermitIssuer`](super::PermitIssuer)). Each gateway finds
 //! that one by what it knows itself; one that gives no answer is passed over for a while, by
 //! this gateway alone, and whoever it asks instead lends only if it takes itself for the lender,
 //! too. An answer counts only if it is one to this process and comes soon: one that was asked
 //! of a process that stood still must not be spent seconds later.
 
-use super::{directory::Server, fleet::Fleet, lender::lender_of, peers::Peers};
+use super::{directory::Server, fleet::Fleet, peers::Peers, permit_issuer::issuer_of};
 use crate::time::Uptime;
 use rand::{Rng, seq::IndexedRandom};
 use std::{
@@ -29,7 +29,7 @@
 
 /// What is asked of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The gateway; may be this one.
     pub lender: IpAddr,
     /// Tells its answer from others.
@@ -40,25 +40,25 @@
 
 /// One that was asked.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentRequest {
     lender: IpAddr,
     at: Uptime,
 }
 
 /// What a gateway wants to borrow, and of whom.
 #[derive(Clone, Debug)]
-pub struct Borrower {
+pub struct PermitRequester {
     own: IpAddr,
     /// Requests that came since the last round, by service.
     wants: BTreeMap<String, u32>,
     /// Those who were asked and have not answered, by the numbers of what was asked.
-    asked: HashMap<u64, Asked>,
+    asked: HashMap<u64, SentRequest>,
     last: u64,
     /// Those who gave no answer, and when that was noticed.
     silent: HashMap<IpAddr, Uptime>,
 }
 
-impl Borrower {
+impl PermitRequester {
     /// Numbers what it asks from `first` on, which is drawn, so that an answer to the process
     /// before is none to this one.
     pub fn new(own: IpAddr, first: u64) -> Self {
@@ -86,7 +86,7 @@
         let mut lenders = peers.lenders(&server.hall, now);
         let leaves = |ip: &IpAddr| leaving && *ip == self.own;
         lenders.retain(|ip| !self.silent.contains_key(ip) && !leaves(ip));
-        lender_of(&server.id, &lenders)
+        issuer_of(&server.id, &lenders)
     }
 
     /// What is to be asked now, of whom.
@@ -97,7 +97,7 @@
         leaving: bool,
         rng: &mut impl Rng,
         now: Uptime,
-    ) -> Vec<Ask> {
+    ) -> Vec<PermitRequest> {
         self.note_silent(now);
         let mut wants: BTreeMap<IpAddr, Vec<(String, u32)>> = BTreeMap::new();
         for (service, count) in std::mem::take(&mut self.wants) {
@@ -116,16 +116,16 @@
         wants.into_iter().map(|(lender, wants)| self.asked(lender, wants, now)).collect()
     }
 
-    fn asked(&mut self, lender: IpAddr, wants: Vec<(String, u32)>, now: Uptime) -> Ask {
+    fn asked(&mut self, lender: IpAddr, wants: Vec<(String, u32)>, now: Uptime) -> PermitRequest {
         self.last = self.last.wrapping_add(1);
-        self.asked.insert(self.last, Asked { lender, at: now });
-        Ask { lender, number: self.last, wants }
+        self.asked.insert(self.last, SentRequest { lender, at: now });
+        PermitRequest { lender, number: self.last, wants }
     }
 
     /// An answer came. When it was asked for, from when on what is lent counts; none for one
     /// that comes too late, or that this process did not ask for.
     pub fn answered(&mut self, number: u64, now: Uptime) -> Option<Uptime> {
-        let Asked { lender, at } = self.asked.remove(&number)?;
+        let SentRequest { lender, at } = self.asked.remove(&number)?;
         self.silent.remove(&lender);
         (now.since(at) < ANSWER_LASTS).then_some(at)
     }
--- a/crates/mastweir-core/src/gateway/suspects.rs
+++ b/crates/mastweir-core/src/gateway/poison_requests.rs
@@ -33,7 +33,7 @@
 pub const ENDS_FINISHED: usize = 8;
 /// A request that nobody has sent for this long is forgotten, and may be tried again: what
 /// servers run changes in hours.
-pub const QUARANTINE_LASTS: Duration = Duration::from_secs(3_600);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
 /// What is new is told on for this long, eight times by gateways and once by entries, which
 /// tell what is quarantined each time: one in a hundred datagrams is lost.
 const NEWS_LASTS: Duration = Duration::from_millis(1_200);
@@ -45,7 +45,7 @@
 
 /// What gateways tell each other of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspected {
+pub struct SuspectReport {
     /// The request.
     pub request: Fingerprint,
     /// Lives of servers that ended under it.
@@ -56,7 +56,7 @@
     pub age_ms: u32,
 }
 
-impl Suspected {
+impl SuspectReport {
     /// Time since one of those ends, or since it was last refused.
     pub const fn age(&self) -> Duration {
         Duration::from_millis(self.age_ms as u64)
@@ -64,7 +64,7 @@
 
     /// Whether that is so long ago that it tells nothing any more.
     pub fn has_lapsed(&self) -> bool {
-        self.age() >= QUARANTINE_LASTS
+        self.age() >= QUARANTINE_DURATION
     }
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Suspect {
+struct SuspectRequest {
     /// Lives that ended under it, in order.
     ends: Vec<Fingerprint>,
     /// Lives that may have: they broke off and are being looked at.
@@ -92,7 +92,7 @@
     changed: Uptime,
 }
 
-impl Suspect {
+impl SuspectRequest {
     fn limit(&self) -> usize {
         if self.finished { ENDS_FINISHED } else { ENDS_MAX }
     }
@@ -118,8 +118,8 @@
 
 /// Requests under which servers ended, as far as this gateway knows.
 #[derive(Clone, Debug, Default)]
-pub struct Suspects {
-    suspects: HashMap<Fingerprint, Suspect>,
+pub struct PoisonRequests {
+    suspects: HashMap<Fingerprint, SuspectRequest>,
     finished: Finished,
 }
 
@@ -143,7 +143,7 @@
     }
 }
 
-impl Suspects {
+impl PoisonRequests {
     /// A server broke a request off, and may have ended. That counts here until it is
     /// cleared or proved, but is not told to others.
     pub fn suspect(&mut self, request: Fingerprint, life: Fingerprint, now: Uptime) {
@@ -179,7 +179,7 @@
     }
 
     /// Takes in what another gateway tells. Whether the request is quarantined from now on.
-    pub fn told(&mut self, suspected: &Suspected, now: Uptime) -> bool {
+    pub fn told(&mut self, suspected: &SuspectReport, now: Uptime) -> bool {
         if suspected.ends.is_empty() || suspected.has_lapsed() {
             return false;
         }
@@ -193,7 +193,12 @@
         is_quarantined
     }
 
-    fn learn(suspect: &mut Suspect, ends: &[Fingerprint], finished: bool, now: Uptime) -> bool {
+    fn learn(
+        suspect: &mut SuspectRequest,
+        ends: &[Fingerprint],
+        finished: bool,
+        now: Uptime,
+    ) -> bool {
         let was_quarantined = suspect.is_quarantined();
         let finishes = finished && !suspect.finished;
         suspect.finished |= finished;
@@ -204,23 +209,24 @@
     }
 
     /// The request, which is new if it isn't known.
-    fn entry(&mut self, request: Fingerprint, now: Uptime) -> &mut Suspect {
+    fn entry(&mut self, request: Fingerprint, now: Uptime) -> &mut SuspectRequest {
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&request) {
             self.drop_least();
         }
         let finished = &self.finished;
-        self.suspects.entry(request).or_insert_with(|| Suspect {
+        self.suspects.entry(request).or_insert_with(|| SuspectRequest {
             finished: finished.contains(request),
             seen: now,
             changed: now,
-            ..Suspect::default()
+            ..SuspectRequest::default()
         })
     }
 
     /// Drops half of them: those with the fewest ends, and of these the oldest.
     fn drop_least(&mut self) {
-        let rank =
-            |request: &Fingerprint, suspect: &Suspect| (suspect.ends.len(), suspect.seen, *request);
+        let rank = |request: &Fingerprint, suspect: &SuspectRequest| {
+            (suspect.ends.len(), suspect.seen, *request)
+        };
         let mut ranks: Vec<_> = self.suspects.iter().map(|(of, is)| rank(of, is)).collect();
         ranks.sort_unstable();
         let middle = ranks[ranks.len() / 2];
@@ -231,7 +237,7 @@
     pub fn quarantine(&mut self, request: Fingerprint, now: Uptime) -> Option<Quarantine> {
         let suspect = self.suspects.get_mut(&request)?;
         let ends = suspect.ends.len() + suspect.unproven.len();
-        if ends < suspect.limit() || now.since(suspect.seen) >= QUARANTINE_LASTS {
+        if ends < suspect.limit() || now.since(suspect.seen) >= QUARANTINE_DURATION {
             return None;
         }
         let age = now.since(std::mem::replace(&mut suspect.seen, now));
@@ -245,26 +251,26 @@
 
     /// Forgets those that nobody has asked for.
     pub fn expire(&mut self, now: Uptime) {
-        self.suspects.retain(|_, suspect| now.since(suspect.seen) < QUARANTINE_LASTS);
+        self.suspects.retain(|_, suspect| now.since(suspect.seen) < QUARANTINE_DURATION);
     }
 
     /// What is known of a request, if a server ended under it.
-    pub fn suspected_of(&self, request: Fingerprint, now: Uptime) -> Option<Suspected> {
+    pub fn suspected_of(&self, request: Fingerprint, now: Uptime) -> Option<SuspectReport> {
         let suspect = self.suspects.get(&request).filter(|suspect| !suspect.ends.is_empty())?;
         Some(suspected(request, suspect, now))
     }
 
     /// What was learned of late, and is to be told to other gateways.
-    pub fn news(&self, now: Uptime) -> Vec<Suspected> {
-        let is_new = |suspect: &Suspect| now.since(suspect.changed) < NEWS_LASTS;
+    pub fn news(&self, now: Uptime) -> Vec<SuspectReport> {
+        let is_new = |suspect: &SuspectRequest| now.since(suspect.changed) < NEWS_LASTS;
         self.suspected(now, is_new).collect()
     }
 
     /// What to tell those who may not have heard it: at most `count` that are quarantined,
     /// those that were last asked for.
-    pub fn quarantined(&self, count: usize, now: Uptime) -> Vec<Suspected> {
-        let mut quarantined: Vec<Suspected> =
-            self.suspected(now, Suspect::is_quarantined).collect();
+    pub fn quarantined(&self, count: usize, now: Uptime) -> Vec<SuspectReport> {
+        let mut quarantined: Vec<SuspectReport> =
+            self.suspected(now, SuspectRequest::is_quarantined).collect();
         quarantined.sort_by_key(|suspected| suspected.age_ms);
         quarantined.truncate(count);
         quarantined
@@ -273,16 +279,16 @@
     fn suspected(
         &self,
         now: Uptime,
-        fits: impl Fn(&Suspect) -> bool,
-    ) -> impl Iterator<Item = Suspected> {
+        fits: impl Fn(&SuspectRequest) -> bool,
+    ) -> impl Iterator<Item = SuspectReport> {
         let proven = self.suspects.iter().filter(|(_, suspect)| !suspect.ends.is_empty());
         let fitting = proven.filter(move |(_, suspect)| fits(suspect));
         fitting.map(move |(request, suspect)| suspected(*request, suspect, now))
     }
 }
 
-fn suspected(request: Fingerprint, suspect: &Suspect, now: Uptime) -> Suspected {
-    Suspected {
+fn suspected(request: Fingerprint, suspect: &SuspectRequest, now: Uptime) -> SuspectReport {
+    SuspectReport {
         request,
         ends: suspect.ends.clone(),
         finished: suspect.finished,
--- a/crates/mastweir-core/src/gateway/rate_limits.rs
+++ b/crates/mastweir-core/src/gateway/rate_limits.rs
@@ -8,7 +8,7 @@
 //! is; where they don't, the stricter one does. That a limit has ended is kept as well, or an
 //! older word of it would bring it back. A server that begins another life has none.
 
-use super::notices::is_other;
+use super::server_notices::is_other;
 use crate::time::Uptime;
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, fmt, time::Duration};
@@ -50,7 +50,7 @@
 
 /// What an answer says of its server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// The limit; none if it names none.
     pub rate: Option<Rate>,
     /// When its request left.
@@ -59,7 +59,7 @@
     pub heard: Uptime,
 }
 
-impl LimitWord {
+impl LimitReport {
     /// A report that was read at a time. An end may be older than it says, as all that
     /// others tell.
     pub(super) fn read(rate: Option<Rate>, at: Uptime) -> Self {
@@ -93,7 +93,7 @@
 
 /// A server's limit, as gateways tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limited {
+pub struct LimitUpdate {
     /// The server.
     pub server: String,
     /// The life that said so; zero if that is not known.
@@ -106,12 +106,12 @@
     pub heard_ms: u32,
 }
 
-impl Limited {
+impl LimitUpdate {
     /// The word, on the clock of the gateway that was told.
-    pub fn word(&self, now: Uptime) -> LimitWord {
+    pub fn word(&self, now: Uptime) -> LimitReport {
         let before = |ms: u32| now - Duration::from_millis(u64::from(ms));
         let late = if self.rate.is_none() { TOLD_LATE } else { Duration::ZERO };
-        LimitWord {
+        LimitReport {
             rate: self.rate,
             asked: before(self.asked_ms) - late,
             heard: before(self.heard_ms),
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Known {
     born: u64,
-    word: LimitWord,
+    word: LimitReport,
     changed: Uptime,
 }
 
@@ -152,7 +152,7 @@
         &mut self,
         id: &str,
         born: u64,
-        word: LimitWord,
+        word: LimitReport,
         now: Uptime,
     ) -> Option<LimitChange> {
         let Some(known) = self.0.get_mut(id) else {
@@ -179,11 +179,11 @@
     }
 
     /// What changed a moment ago, to be told on; with `all`, whatever holds as well.
-    pub(super) fn told(&self, all: bool, now: Uptime) -> Vec<Limited> {
+    pub(super) fn told(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
         let ms = |at| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
         let is_told = |known: &Known| all || now.since(known.changed) < NEWS_LASTS;
         let told = self.0.iter().filter(|(_, known)| is_told(known));
-        let told = told.map(|(id, known)| Limited {
+        let told = told.map(|(id, known)| LimitUpdate {
             server: id.clone(),
             born: known.born,
             rate: known.word.rate,
--- a/crates/mastweir-core/src/gateway/proof.rs
+++ b/crates/mastweir-core/src/gateway/retry_policy.rs
@@ -20,7 +20,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum AttemptResult {
     /// It has not run.
     NotRun(Proof),
     /// The server answered with a failure after it may have run.
@@ -31,7 +31,7 @@
 
 /// What is left of a request's allowance.
 #[derive(Clone, Copy, Debug)]
-pub struct Step {
+pub struct AttemptState {
     /// Whether it may run again after it may have run.
     pub repeatable: bool,
     /// Whether an earlier attempt may have run.
@@ -44,7 +44,7 @@
 
 /// What to do after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextAction {
     /// Send it to another server, if the fleet's retries allow.
     Retry,
     /// Tell the caller that it has not run.
@@ -52,7 +52,7 @@
     /// Tell the caller that it may have run.
     EndUnknown,
     /// Pass the server's failure on.
-    PassOn,
+    Forward,
 }
 
 /// Least time for which another attempt is begun: a tenth of the smallest
@@ -60,20 +60,20 @@
 const RETRY_LEAST: Duration = Duration::from_millis(20);
 
 /// Decides what follows an attempt.
-pub fn next(step: Step, answer: Answer) -> Next {
-    let not_run = matches!(answer, Answer::NotRun(_));
+pub fn next_action(step: AttemptState, answer: AttemptResult) -> NextAction {
+    let not_run = matches!(answer, AttemptResult::NotRun(_));
     let safe = not_run || step.repeatable;
     if safe && step.attempts_left > 0 && step.left > RETRY_LEAST {
-        return Next::Retry;
+        return NextAction::Retry;
     }
-    ending(step, answer)
+    final_action(step, answer)
 }
 
 /// The final answer where no further attempt is made.
-pub fn ending(step: Step, answer: Answer) -> Next {
+pub fn final_action(step: AttemptState, answer: AttemptResult) -> NextAction {
     match answer {
-        Answer::NotRun(_) if step.repeatable || !step.maybe_run => Next::EndNotRun,
-        Answer::NotRun(_) | Answer::Broken => Next::EndUnknown,
-        Answer::Failed => Next::PassOn,
+        AttemptResult::NotRun(_) if step.repeatable || !step.maybe_run => NextAction::EndNotRun,
+        AttemptResult::NotRun(_) | AttemptResult::Broken => NextAction::EndUnknown,
+        AttemptResult::Failed => NextAction::Forward,
     }
 }
--- a/crates/mastweir-core/src/gateway/notices.rs
+++ b/crates/mastweir-core/src/gateway/server_notices.rs
@@ -17,7 +17,7 @@
 
 /// Why a server gets no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bar {
+pub enum Exclusion {
     /// It leaves.
     Leaving,
     /// It wants none for so long.
@@ -39,9 +39,9 @@
 
 /// What servers said of themselves, by their ids.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Notices(HashMap<String, Notice>);
+pub(super) struct ServerNotices(HashMap<String, Notice>);
 
-impl Notices {
+impl ServerNotices {
     /// Whether no server has said anything.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -69,13 +69,13 @@
     }
 
     /// Why a life of a server gets no requests, if so.
-    pub(super) fn bar(&self, id: &str, born: u64, now: Uptime) -> Option<Bar> {
+    pub(super) fn bar(&self, id: &str, born: u64, now: Uptime) -> Option<Exclusion> {
         let notice = self.0.get(id).filter(|notice| !is_other(notice.born, born))?;
         if notice.leaves {
-            return Some(Bar::Leaving);
+            return Some(Exclusion::Leaving);
         }
         let left = notice.backs_off.since(now);
-        (!left.is_zero()).then_some(Bar::Backoff(left))
+        (!left.is_zero()).then_some(Exclusion::Backoff(left))
     }
 
     /// Forgets what was said long ago by servers that are not listed, and what no longer
--- a/crates/mastweir-core/src/gateway/pauses.rs
+++ b/crates/mastweir-core/src/gateway/stream_timing.rs
@@ -5,7 +5,7 @@
 
 /// What a stream's events showed so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct StreamTiming {
     waited: Duration,
     began: Uptime,
     first: Option<Uptime>,
@@ -14,7 +14,7 @@
     longest_at: Uptime,
 }
 
-impl Pauses {
+impl StreamTiming {
     /// A stream that begins now, for a caller who has waited so long.
     pub const fn new(now: Uptime, waited: Duration) -> Self {
         let (longest, longest_at) = (Duration::ZERO, now);
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -6,7 +6,7 @@
 //! handshake and datagram, and a process that reads another version drops it.
 
 use crate::{
-    gateway::Suspected,
+    gateway::SuspectReport,
     id::{Fence, Incarnation, OpId},
     member::Heard,
     outcome::Refusal,
@@ -198,7 +198,7 @@
     /// Service that customers received, for the fleet-wide share.
     Usage(Usage),
     /// Requests under which engines ended.
-    Suspected(Vec<Suspected>),
+    Suspected(Vec<SuspectReport>),
 }
 
 /// A datagram: who sent it, and in which order.
--- a/crates/mastweir-model/src/fleet.rs
+++ b/crates/mastweir-model/src/fleet.rs
@@ -10,7 +10,7 @@
     server::{Said as ServerSaid, Server},
 };
 use mastweir_core::{
-    gateway::{Candidate, Limited, Loan, Named, Said},
+    gateway::{Candidate, LimitUpdate, PeerInfo, PeerState, PermitGrant},
     time::Uptime,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -59,10 +59,10 @@
 /// What gateways tell each other.
 #[derive(Clone, Debug)]
 enum Word {
-    Hello { named: Named, said: Said, asks: bool, known: Vec<Named> },
-    Limits(Vec<Limited>),
+    Hello { named: PeerInfo, said: PeerState, asks: bool, known: Vec<PeerInfo> },
+    Limits(Vec<LimitUpdate>),
     Borrow { number: u64, wants: Vec<(String, u32)> },
-    Lent { number: u64, loans: Vec<(String, Loan)> },
+    Lent { number: u64, loans: Vec<(String, PermitGrant)> },
 }
 
 /// A request of a caller.
--- a/crates/mastweir-model/src/fleet/words.rs
+++ b/crates/mastweir-model/src/fleet/words.rs
@@ -3,7 +3,7 @@
 use super::{AGAIN_ROUNDS, ASK_EVERY, At, Fleet, HELLO_EVERY, TELL_EVERY, Word};
 use crate::gateway::{Gateway, SERVICE, hall, ip, number_of, server_of};
 use mastweir_core::{
-    gateway::{Ask, Loan, Named, Said, TOKEN_LASTS},
+    gateway::{PERMIT_LIFETIME, PeerInfo, PeerState, PermitGrant, PermitRequest},
     time::Uptime,
 };
 use std::{net::IpAddr, time::Duration};
@@ -23,8 +23,9 @@
     fn own_hello(&self, number: usize, asks: bool) -> Word {
         let gateway = &self.gateways[number];
         let now = gateway.clock(self.now_us);
-        let named = Named { ip: ip(number), hall: hall(number % self.scenario.halls), power: 250 };
-        let said = Said {
+        let named =
+            PeerInfo { ip: ip(number), hall: hall(number % self.scenario.halls), power: 250 };
+        let said = PeerState {
             leaving: false,
             follows: !gateway.peers.is_speaker(number == 0, now),
             in_hall: gateway.peers.in_hall(now),
@@ -93,7 +94,7 @@
             let again = self.to_gateway(number, At::Ask);
             self.after(ASK_EVERY, again);
         }
-        for Ask { lender, number: word, wants } in asks {
+        for PermitRequest { lender, number: word, wants } in asks {
             if lender == ip(number) {
                 let loans = self.lend(number, wants);
                 self.lent(number, word, loans);
@@ -103,7 +104,7 @@
         }
     }
 
-    fn lend(&mut self, number: usize, wants: Vec<(String, u32)>) -> Vec<(String, Loan)> {
+    fn lend(&mut self, number: usize, wants: Vec<(String, u32)>) -> Vec<(String, PermitGrant)> {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(now_us);
@@ -118,14 +119,14 @@
         loans
     }
 
-    fn lent(&mut self, number: usize, word: u64, loans: Vec<(String, Loan)>) {
+    fn lent(&mut self, number: usize, word: u64, loans: Vec<(String, PermitGrant)>) {
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(now_us);
         let Some(asked) = gateway.borrower.answered(word, now) else { return };
-        for (server, Loan { count, wait }) in loans {
+        for (server, PermitGrant { count, wait }) in loans {
             if count > 0 {
-                gateway.fleet.lent(&server, count, asked + TOKEN_LASTS);
+                gateway.fleet.lent(&server, count, asked + PERMIT_LIFETIME);
             } else {
                 gateway.fleet.none_lent(&server, now + wait);
             }
--- a/crates/mastweir-model/src/gateway.rs
+++ b/crates/mastweir-model/src/gateway.rs
@@ -3,8 +3,8 @@
 use crate::scenario::Scenario;
 use mastweir_core::{
     gateway::{
-        Borrower, Candidate, Directory, Fleet, Lender, Named, Needs, Peers, Refusal, Server,
-        ServerState,
+        Candidate, Directory, Fleet, Needs, PeerInfo, Peers, PermitIssuer, PermitRequester,
+        Refusal, Server, ServerState,
     },
     revision::Revision,
     time::Uptime,
@@ -66,9 +66,9 @@
     /// The servers.
     pub fleet: Fleet,
     /// What it borrows.
-    pub borrower: Borrower,
+    pub borrower: PermitRequester,
     /// What it lends.
-    pub lender: Lender,
+    pub lender: PermitIssuer,
     /// Whether a round of asking is due.
     pub asks: bool,
     /// Rounds of hellos.
@@ -85,7 +85,7 @@
         rng: &mut SmallRng,
     ) -> Self {
         let own_hall = hall(number % scenario.halls);
-        let named = Named { ip: ip(number), hall: own_hall.clone(), power: 250 };
+        let named = PeerInfo { ip: ip(number), hall: own_hall.clone(), power: 250 };
         let mut fleet = Fleet::new(&own_hall);
         fleet.replace(directory(scenario), false, Uptime::default());
         Self {
@@ -96,8 +96,8 @@
             life,
             peers: Peers::new(named),
             fleet,
-            borrower: Borrower::new(ip(number), rng.random()),
-            lender: Lender::default(),
+            borrower: PermitRequester::new(ip(number), rng.random()),
+            lender: PermitIssuer::default(),
             asks: false,
             round: 0,
         }
--- a/crates/mastweir-model/src/server.rs
+++ b/crates/mastweir-model/src/server.rs
@@ -1,7 +1,7 @@
 //! A server: what it says in its answers, and the record of what it got.
 
 use mastweir_core::{
-    gateway::{LimitWord, Rate},
+    gateway::{LimitReport, Rate},
     time::Uptime,
 };
 use mastweir_test_support::{
@@ -30,8 +30,8 @@
 
 impl Said {
     /// What it says of the limit, to a request that left then.
-    pub const fn limit(self, asked: Uptime, heard: Uptime) -> LimitWord {
-        LimitWord { rate: self.rate, asked, heard }
+    pub const fn limit(self, asked: Uptime, heard: Uptime) -> LimitReport {
+        LimitReport { rate: self.rate, asked, heard }
     }
 }
 
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -3,7 +3,7 @@
 use super::{Shared, heartbeat, lock, table, usage};
 use crate::objects::{Collection, InstanceSpec, InstanceState, WatchEvent, outage};
 use futures_util::StreamExt;
-use mastweir_core::{gateway::Suspected, member::Heard, wire::Packet};
+use mastweir_core::{gateway::SuspectReport, member::Heard, wire::Packet};
 use rand::Rng;
 use std::{collections::BTreeMap, pin::pin, sync::Arc, time::Duration};
 use tokio::time;
@@ -115,7 +115,7 @@
     }
 }
 
-fn hear_suspected(shared: &Shared, from: &str, all: &[Suspected]) {
+fn hear_suspected(shared: &Shared, from: &str, all: &[SuspectReport]) {
     let now = shared.context.clock.now();
     let mut suspects = lock(&shared.suspects);
     for suspected in all {
--- a/src/mastweir/entry/heartbeat.rs
+++ b/src/mastweir/entry/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use super::{Shared, lock};
 use crate::objects::InstanceRole;
-use mastweir_core::{gateway::Suspected, wire::Packet};
+use mastweir_core::{gateway::SuspectReport, wire::Packet};
 use rand::seq::{IndexedRandom, IteratorRandom};
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
@@ -30,7 +30,7 @@
 }
 
 /// Requests under which engines ended: what is new, and what is quarantined.
-fn suspected(shared: &Shared) -> Vec<Suspected> {
+fn suspected(shared: &Shared) -> Vec<SuspectReport> {
     let now = shared.context.clock.now();
     let suspects = lock(&shared.suspects);
     let mut suspected = suspects.news(now);
--- a/src/mastweir/entry/mod.rs
+++ b/src/mastweir/entry/mod.rs
@@ -38,7 +38,7 @@
     net::{Pool, Socket, Traffic},
 };
 use mastweir_core::{
-    gateway::Suspects, member::Members, route::RetryBudget, switch::MapVersion, table::Table,
+    gateway::PoisonRequests, member::Members, route::RetryBudget, switch::MapVersion, table::Table,
 };
 use rand::{SeedableRng, rngs::StdRng};
 use rocket::Shutdown;
@@ -103,7 +103,7 @@
     usage: Mutex<usage::Exchange>,
     budget: Mutex<RetryBudget>,
     /// Requests under which engines ended.
-    suspects: Mutex<Suspects>,
+    suspects: Mutex<PoisonRequests>,
     rng: Mutex<StdRng>,
     decisions: decisions::Decisions,
     /// Maps that operators or the planner want, by group.
--- a/src/mastweir/entry/order.rs
+++ b/src/mastweir/entry/order.rs
@@ -1,7 +1,7 @@
 //! A request on its way through an entry.
 
 use mastweir_core::{
-    gateway::{Asked, Fingerprint},
+    gateway::{Fingerprint, RequestParts},
     route::Request,
     table::Service,
 };
@@ -42,7 +42,7 @@
 impl Order {
     /// What it has in common with other submissions of the same request.
     pub fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(Asked {
+        Fingerprint::of(RequestParts {
             customer: &self.customer,
             host: &self.service_name,
             path: self.path.split('?').next().unwrap_or_default(),
--- a/src/mastweir/entry/problem.rs
+++ b/src/mastweir/entry/problem.rs
@@ -1,7 +1,7 @@
 //! What a caller is told when there is no answer: `application/problem+json`.
 
 use mastweir_core::{
-    gateway::QUARANTINE_LASTS,
+    gateway::QUARANTINE_DURATION,
     outcome::{Evidence, Outcome, Refusal},
 };
 use serde::{Deserialize, Serialize};
@@ -81,7 +81,7 @@
     /// Seconds after which to come back, where nothing else is known.
     fn retry_after(self, status: u16) -> Option<u32> {
         match self {
-            Self::Quarantined => u32::try_from(QUARANTINE_LASTS.as_secs()).ok(),
+            Self::Quarantined => u32::try_from(QUARANTINE_DURATION.as_secs()).ok(),
             _ => (status == 503 || status == 429).then_some(1),
         }
     }
--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -12,7 +12,7 @@
 };
 use http_body_util::Full;
 use hyper::{Request, StatusCode, body::Incoming, http::response::Parts};
-use mastweir_core::gateway::{Answer, Candidate, Proof, Rate};
+use mastweir_core::gateway::{AttemptResult, Candidate, Proof, Rate};
 use slog::info;
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time;
@@ -80,7 +80,7 @@
     server: Candidate,
     last_event: Option<&str>,
     progress: &mut Progress,
-) -> Result<Got, Answer> {
+) -> Result<Got, AttemptResult> {
     progress.tried.push(server.id.clone());
     progress.waited.get_or_insert(call.age());
     let place = Place::take(gateway, server);
@@ -94,12 +94,12 @@
     };
     let mut exchange = opened.map_err(|error| {
         unreachable(gateway, call, &place, &error);
-        Answer::NotRun(Proof::NeverSent)
+        AttemptResult::NotRun(Proof::NeverSent)
     })?;
     // The server may have said so, or named its limit, while the connection opened.
     if !gateway.fleet.borrow_mut().may_send(id, lent, gateway.clock.now()) {
         gateway.servers.give_back(exchange, None);
-        return Err(Answer::NotRun(Proof::NeverSent));
+        return Err(AttemptResult::NotRun(Proof::NeverSent));
     }
     let added = Added {
         left: call.left(),
@@ -122,14 +122,14 @@
             info!(gateway.log, "server makes no progress"; "id" => &call.head.id,
                 "server" => &place.server.id, "reason" => reason,
                 "fingerprint" => %call.fingerprint());
-            return Err(Answer::Broken);
+            return Err(AttemptResult::Broken);
         }
     };
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(error)) if error.is_unsent() => {
             unreachable(gateway, call, &place, &error);
-            return Err(Answer::NotRun(Proof::NeverSent));
+            return Err(AttemptResult::NotRun(Proof::NeverSent));
         }
         Ok(Err(error)) => {
             progress.runs += 1;
@@ -138,11 +138,11 @@
             if !error.is_malformed() {
                 broke_off(gateway, call, &place.server).await;
             }
-            return Err(Answer::Broken);
+            return Err(AttemptResult::Broken);
         }
         Err(_) => {
             progress.runs += 1;
-            return Err(Answer::Broken);
+            return Err(AttemptResult::Broken);
         }
     };
     let (parts, body) = response.into_parts();
@@ -154,13 +154,13 @@
         place.fail();
         info!(gateway.log, "answer belongs to another request"; "id" => &call.head.id,
             "answer_id" => &head.id, "server" => &place.server.id);
-        return Err(Answer::Broken);
+        return Err(AttemptResult::Broken);
     }
     let wrong_server = parts.status == StatusCode::MISDIRECTED_REQUEST;
     if wrong_server || head.not_run {
         let proof = if wrong_server { Proof::WrongServer } else { Proof::Refused };
         refused(gateway, call, &place, proof, &head);
-        return Err(Answer::NotRun(proof));
+        return Err(AttemptResult::NotRun(proof));
     }
     progress.runs += 1;
     Ok(Got { parts, head, body, exchange, place })
@@ -202,7 +202,12 @@
 
 /// Whether the fleet's retries, and this request's sends, allow another one. One
 /// that never left is not a retry to any server. What servers end under goes to no other.
-pub fn may_retry(gateway: &Gateway, call: &Call, progress: &Progress, answer: Answer) -> bool {
+pub fn may_retry(
+    gateway: &Gateway,
+    call: &Call,
+    progress: &Progress,
+    answer: AttemptResult,
+) -> bool {
     let sends = u32::try_from(progress.tried.len()).unwrap_or(u32::MAX);
     if sends >= call.route().attempts + SENDS_SPARE {
         return false;
@@ -211,7 +216,7 @@
         gateway.tally.count("retries_denied_total", "quarantined");
         return false;
     }
-    let unsent = answer == Answer::NotRun(Proof::NeverSent);
+    let unsent = answer == AttemptResult::NotRun(Proof::NeverSent);
     let allowed = unsent || gateway.take_retry(&call.service);
     if !allowed {
         gateway.tally.count("retries_denied_total", "budget");
--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -8,7 +8,7 @@
     header::{HOST, HeaderValue},
 };
 use mastweir_core::{
-    gateway::{Asked, Fingerprint, Needs, Quarantine, Route, Stream},
+    gateway::{Fingerprint, Needs, Quarantine, RequestParts, Route, Stream},
     time::Uptime,
 };
 use std::{cell::OnceCell, rc::Rc, time::Duration};
@@ -58,7 +58,7 @@
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(HOST).map_or(&b""[..], HeaderValue::as_bytes);
-            Fingerprint::of(Asked {
+            Fingerprint::of(RequestParts {
                 customer: self.customer.as_deref().unwrap_or_default(),
                 host: &String::from_utf8_lossy(host),
                 path: self.uri.path(),
--- a/src/mastweir/gateway/ending.rs
+++ b/src/mastweir/gateway/ending.rs
@@ -8,7 +8,7 @@
 use crate::platform::headers;
 use http_body_util::{Either, Full};
 use hyper::{Response, StatusCode};
-use mastweir_core::gateway::{Next, QUARANTINE_LASTS, Quarantine, Refusal};
+use mastweir_core::gateway::{NextAction, QUARANTINE_DURATION, Quarantine, Refusal};
 use rand::Rng;
 use slog::info;
 use std::{ops::Range, time::Duration};
@@ -60,13 +60,13 @@
     info!(gateway.log, "quarantined request refused"; "id" => &call.head.id, "ends" => quarantine.ends, "proved" => quarantine.proved,
         "fingerprint" => %call.fingerprint(), "age_ms" => quarantine.age.as_millis() as u64,
         "tried" => progress.tried.join(","));
-    let back = if quarantine.proved { QUARANTINE_LASTS } else { BACK_PROVED };
+    let back = if quarantine.proved { QUARANTINE_DURATION } else { BACK_PROVED };
     end(gateway, call, progress, unsent(progress), back)
 }
 
 /// How a request ends that goes to no other server.
-const fn unsent(progress: &Progress) -> Next {
-    if progress.runs > 0 { Next::EndUnknown } else { Next::EndNotRun }
+const fn unsent(progress: &Progress) -> NextAction {
+    if progress.runs > 0 { NextAction::EndUnknown } else { NextAction::EndNotRun }
 }
 
 /// When a refused caller is told to come back.
@@ -87,12 +87,12 @@
     gateway: &Gateway,
     call: &Call,
     progress: &Progress,
-    next: Next,
+    next: NextAction,
     back: Duration,
 ) -> Reply {
     let late = call.left().is_zero();
     let (status, retry_after) = match next {
-        Next::EndNotRun => (StatusCode::SERVICE_UNAVAILABLE, Some(back)),
+        NextAction::EndNotRun => (StatusCode::SERVICE_UNAVAILABLE, Some(back)),
         _ if late => (StatusCode::GATEWAY_TIMEOUT, None),
         _ => (StatusCode::BAD_GATEWAY, None),
     };
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -8,7 +8,7 @@
 };
 use crate::net::internal;
 use mastweir_core::{
-    gateway::{Config, DirectoryChange, Suspected},
+    gateway::{Config, DirectoryChange, SuspectReport},
     revision::Revision,
 };
 use slog::warn;
@@ -58,7 +58,7 @@
 /// Fetches which requests another gateway has quarantined.
 async fn fetch_quarantined(gateway: &Rc<Gateway>, from: IpAddr) {
     let addr = gateway.internal_addr(from);
-    let fetched: Result<Vec<Suspected>, _> =
+    let fetched: Result<Vec<SuspectReport>, _> =
         internal::call(&gateway.internal, addr, "/quarantined", &(), FETCH_LASTS).await;
     match fetched {
         Ok(suspected) => {
--- a/src/mastweir/gateway/follow.rs
+++ b/src/mastweir/gateway/follow.rs
@@ -12,7 +12,7 @@
     util::tally::Tally,
 };
 use mastweir_core::{
-    gateway::{Doubt, Liveness, Probe},
+    gateway::{Liveness, ProbeResult, WatchFailure},
     revision::Revision,
 };
 use slog::{Logger, info, warn};
@@ -127,10 +127,10 @@
         self.pause.set((self.pause.get() * 2).min(RETRY_LAST));
     }
 
-    fn doubted(&self, asked: &Asked, doubt: Doubt) {
+    fn doubted(&self, asked: &Asked, doubt: WatchFailure) {
         let reason = match doubt {
-            Doubt::Outage => "outage",
-            Doubt::Deaf => "deaf",
+            WatchFailure::Outage => "outage",
+            WatchFailure::Stalled => "deaf",
         };
         self.tally.count("watches_given_up_total", reason);
         info!(self.log, "watch given up"; "kind" => self.kind, "reason" => reason,
@@ -156,7 +156,7 @@
     /// Its own end.
     Watch(Result<Changes<T>, StoreError>),
     /// It was given up.
-    Doubt(Doubt),
+    Doubt(WatchFailure),
 }
 
 /// Follows a kind of object, for ever. `outages` is shared by all that follow the same
@@ -219,31 +219,31 @@
         biased;
         changes = source.watch(since, WATCH_WAITS) => Ended::Watch(changes),
         doubt = doubted(source, since, link) => {
-            if doubt == Doubt::Outage {
+            if doubt == WatchFailure::Outage {
                 outages.notify_waiters();
             }
             Ended::Doubt(doubt)
         }
-        () = outages.notified() => Ended::Doubt(Doubt::Outage),
+        () = outages.notified() => Ended::Doubt(WatchFailure::Outage),
         // The revision it waits from may mean another change by now.
         () = source.later_era(since) => Ended::Watch(Err(StoreError::EraChanged)),
     }
 }
 
 /// Ends when the watch beside can't be trusted any more.
-async fn doubted<S: Source>(source: &S, since: Revision, link: &Link<'_>) -> Doubt {
+async fn doubted<S: Source>(source: &S, since: Revision, link: &Link<'_>) -> WatchFailure {
     let mut liveness = Liveness::default();
     time::sleep(PROBE_FIRST).await;
     loop {
         let asked = Asked::now("probe", since);
         let probe = match source.probe(since).await {
             // What a lagging replica says of an earlier era tells nothing of this one.
-            Ok(false) | Err(StoreError::OldEra { .. }) => Probe::Same,
-            Ok(true) | Err(StoreError::HistoryGone | StoreError::EraChanged) => Probe::Newer,
+            Ok(false) | Err(StoreError::OldEra { .. }) => ProbeResult::Unchanged,
+            Ok(true) | Err(StoreError::HistoryGone | StoreError::EraChanged) => ProbeResult::Newer,
             Err(error) => {
                 link.tally.count("store_probes_missed_total", S::KIND);
                 link.lost(&asked, &error);
-                Probe::Missed
+                ProbeResult::Missed
             }
         };
         if let Some(doubt) = liveness.probed(probe) {
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -18,7 +18,10 @@
     header::{CONNECTION, HOST, HeaderValue},
 };
 use mastweir_core::{
-    gateway::{Answer, Candidate, Kind, Next, Refusal, Route, Step, ending, held, next},
+    gateway::{
+        AttemptResult, AttemptState, Candidate, Kind, NextAction, Refusal, Route, final_action,
+        held, next_action,
+    },
     time::Uptime,
 };
 use rand::Rng;
@@ -181,12 +184,14 @@
             },
         };
         let step = step(&call, &progress);
-        if next(step, answer) == Next::Retry && may_retry(gateway, &call, &progress, answer) {
+        if next_action(step, answer) == NextAction::Retry
+            && may_retry(gateway, &call, &progress, answer)
+        {
             info!(gateway.log, "request sent again"; "id" => &call.head.id, "after" => ?answer,
                 "tried" => progress.tried.join(","), "left_ms" => call.left().as_millis() as u64);
             continue;
         }
-        return end(gateway, &call, &progress, ending(step, answer), BACK_FULL);
+        return end(gateway, &call, &progress, final_action(step, answer), BACK_FULL);
     }
 }
 
@@ -196,9 +201,9 @@
     call.route().kind == Kind::Stream && got.parts.status == StatusCode::OK && own
 }
 
-fn step(call: &Call, progress: &Progress) -> Step {
+fn step(call: &Call, progress: &Progress) -> AttemptState {
     let route = call.route();
-    Step {
+    AttemptState {
         repeatable: route.repeatable(),
         maybe_run: progress.runs > 0,
         attempts_left: route.attempts.saturating_sub(progress.runs),
@@ -275,7 +280,7 @@
     call: &Call,
     got: Got,
     progress: &Progress,
-) -> Result<Reply, Answer> {
+) -> Result<Reply, AttemptResult> {
     let Got { parts, head, body, exchange, place } = got;
     let read = Limited::new(body, ANSWER_BYTES_MAX).collect();
     let read = gateway.clock.timeout_at(call.deadline, read).await;
@@ -286,7 +291,7 @@
         if is_broken {
             broke_off(gateway, call, &place.server).await;
         }
-        return Err(Answer::Broken);
+        return Err(AttemptResult::Broken);
     };
     gateway.servers.give_back(exchange, head.keep);
     let status = parts.status;
@@ -299,19 +304,19 @@
     // server's.
     if success && (!head.signed || head.id != call.head.id) {
         place.fail();
-        return Err(Answer::Broken);
+        return Err(AttemptResult::Broken);
     }
     if success {
         // A failure proves nothing: the next server may run it, and end.
         call.finished(gateway);
     }
-    let retry = next(step(call, progress), Answer::Failed) == Next::Retry;
-    if failed && retry && may_retry(gateway, call, progress, Answer::Failed) {
-        return Err(Answer::Failed);
+    let retry = next_action(step(call, progress), AttemptResult::Failed) == NextAction::Retry;
+    if failed && retry && may_retry(gateway, call, progress, AttemptResult::Failed) {
+        return Err(AttemptResult::Failed);
     }
     // These would tell the caller that it has not run.
     if promises_not_run(status) {
-        return Err(Answer::Broken);
+        return Err(AttemptResult::Broken);
     }
     let mut reply = Response::new(Either::Left(Full::new(body.to_bytes())));
     *reply.status_mut() = status;
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -1,6 +1,6 @@
 //! Borrowing tokens for servers that name a limit, and lending them: the messages. Whom a
-//! gateway asks is decided by [`Borrower`](mastweir_core::gateway::Borrower), what it lends by
-//! [`Lender`](mastweir_core::gateway::Lender).
+//! gateway asks is decided by [`PermitRequester`](mastweir_core::gateway::PermitRequester), what it lends by
+//! [`PermitIssuer`](mastweir_core::gateway::PermitIssuer).
 
 use super::{
     datagrams::send,
@@ -8,7 +8,7 @@
     state::Gateway,
 };
 use mastweir_core::{
-    gateway::{Ask, Candidate, Loan, Needs, Refusal, Server, TOKEN_LASTS},
+    gateway::{Candidate, Needs, PERMIT_LIFETIME, PermitGrant, PermitRequest, Refusal, Server},
     time::Uptime,
 };
 use slog::info;
@@ -63,7 +63,7 @@
         now,
     );
     let own = gateway.settings.borrow().ip;
-    for Ask { lender, number, wants } in asks {
+    for PermitRequest { lender, number, wants } in asks {
         if lender == own {
             let loans = wants.into_iter().map(|(server, count)| lend(gateway, server, count, own));
             lent(gateway, Lent { number, loans: loans.collect() });
@@ -96,7 +96,7 @@
     let per_s = fleet.limit(&server).map_or(0.0, |rate| rate.requests());
     let part = gateway.gateways.borrow().part(hall, now);
     let mut lender = gateway.lending.lender.borrow_mut();
-    let Loan { count, wait } = lender.lend(&server, per_s * part, wanted, now);
+    let PermitGrant { count, wait } = lender.lend(&server, per_s * part, wanted, now);
     if count > 0 {
         gateway.tally.count("tokens_total", "lent");
         info!(gateway.log, "tokens lent"; "server" => &server, "wanted" => wanted,
@@ -132,7 +132,7 @@
     let mut fleet = gateway.fleet.borrow_mut();
     for LentFor { server, count, wait_ms } in loans {
         if count > 0 {
-            fleet.lent(&server, count, asked + TOKEN_LASTS);
+            fleet.lent(&server, count, asked + PERMIT_LIFETIME);
         } else {
             fleet.none_lent(&server, now + Duration::from_millis(u64::from(wait_ms)));
         }
--- a/src/mastweir/gateway/limits.rs
+++ b/src/mastweir/gateway/limits.rs
@@ -13,7 +13,7 @@
     state::Gateway,
     suspects::hearers,
 };
-use mastweir_core::gateway::Limited;
+use mastweir_core::gateway::LimitUpdate;
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::{net::UdpSocket, time};
 
@@ -55,18 +55,19 @@
     send(gateway, socket, &[ip], &all);
 }
 
-fn send(gateway: &Gateway, socket: &UdpSocket, to: &[IpAddr], told: &[Limited]) {
+fn send(gateway: &Gateway, socket: &UdpSocket, to: &[IpAddr], told: &[LimitUpdate]) {
     // What can't be encoded can't be told; no message is of that kind.
-    let message = |chunk: &[Limited]| postcard::to_stdvec(&Message::Limits(chunk.to_vec())).ok();
+    let message =
+        |chunk: &[LimitUpdate]| postcard::to_stdvec(&Message::Limits(chunk.to_vec())).ok();
     let messages: Vec<Vec<u8>> = told.chunks(LIMITS_SENT).filter_map(message).collect();
     send_all(gateway, socket, to, &messages);
 }
 
 /// Takes in what another gateway tells.
-pub fn told(gateway: &Gateway, all: &[Limited]) {
+pub fn told(gateway: &Gateway, all: &[LimitUpdate]) {
     let now = gateway.clock.now();
     for limited in all {
-        let Limited { server, born, .. } = limited;
+        let LimitUpdate { server, born, .. } = limited;
         let word = limited.word(now);
         let change = gateway.fleet.borrow_mut().named_limit(server, *born, word, now);
         if let Some(change) = change {
--- a/src/mastweir/gateway/loans.rs
+++ b/src/mastweir/gateway/loans.rs
@@ -1,6 +1,6 @@
 //! What a gateway keeps for borrowing tokens and lending them.
 
-use mastweir_core::gateway::{Borrower, Lender};
+use mastweir_core::gateway::{PermitIssuer, PermitRequester};
 use std::{cell::RefCell, net::IpAddr};
 use tokio::sync::Notify;
 
@@ -8,9 +8,9 @@
 #[derive(Debug)]
 pub struct Lending {
     /// Decides whom to ask.
-    pub borrower: RefCell<Borrower>,
+    pub borrower: RefCell<PermitRequester>,
     /// Decides what to lend.
-    pub lender: RefCell<Lender>,
+    pub lender: RefCell<PermitIssuer>,
     /// Requests came that want tokens.
     pub wake: Notify,
 }
@@ -19,7 +19,7 @@
     /// Of a gateway that has just started. `first` is drawn.
     pub fn new(own: IpAddr, first: u64) -> Self {
         Self {
-            borrower: RefCell::new(Borrower::new(own, first)),
+            borrower: RefCell::new(PermitRequester::new(own, first)),
             lender: RefCell::default(),
             wake: Notify::new(),
         }
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -6,7 +6,7 @@
 //! to either (docs/design/large.md).
 
 use mastweir_core::{
-    gateway::{Limited, Model, Named, Suspected, Told},
+    gateway::{LimitUpdate, Model, PeerInfo, SuspectReport, Told},
     revision::Revision,
     switch::{
         map_change::{OrderOutcome, RankState},
@@ -51,9 +51,9 @@
     Pace(Pace),
     /// A gateway to its hall's speakers, and they to gateways: requests under which servers
     /// ended.
-    Suspected(Vec<Suspected>),
+    Suspected(Vec<SuspectReport>),
     /// A gateway to its hall's speakers, and they to gateways: what servers name as limits.
-    Limits(Vec<Limited>),
+    Limits(Vec<LimitUpdate>),
     /// A gateway to one that lends.
     Borrow(Borrow),
     /// Its answer.
@@ -111,7 +111,7 @@
     /// Most gateways that it knew of at once.
     pub in_all: u32,
     /// The first gateways of each hall, as far as it hears them.
-    pub known: Vec<Named>,
+    pub known: Vec<PeerInfo>,
 }
 
 /// A speaker is here: a sidecar reports to it.
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -14,7 +14,7 @@
     state::Gateway,
     suspects,
 };
-use mastweir_core::gateway::{Lag, Named, Said, Versions};
+use mastweir_core::gateway::{Lag, PeerInfo, PeerState, Versions};
 use slog::info;
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::{net::UdpSocket, task, time};
@@ -68,8 +68,8 @@
     let Hello { hall, power, leaving, asks, follows, in_hall, in_all, known, .. } = hello;
     {
         let mut gateways = gateway.gateways.borrow_mut();
-        let is = Named { ip: from, hall, power };
-        gateways.heard(is, Said { leaving, follows, in_hall, in_all }, now);
+        let is = PeerInfo { ip: from, hall, power };
+        gateways.heard(is, PeerState { leaving, follows, in_hall, in_all }, now);
         known.into_iter().for_each(|named| gateways.named(named, now));
     }
     gateway.heard_config.set(gateway.heard_config.get().max(Some(hello.config)));
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -7,7 +7,7 @@
 
 use super::{state::Gateway, unread::Noted};
 use crate::platform::{objects::Listed, quarantine::StoredQuarantine, store::StoreError};
-use mastweir_core::gateway::{Fingerprint, QUARANTINE_LASTS, Suspected};
+use mastweir_core::gateway::{Fingerprint, QUARANTINE_DURATION, SuspectReport};
 use rand::Rng;
 use slog::{info, warn};
 use std::{rc::Rc, time::Duration};
@@ -28,7 +28,7 @@
 const WRITES_MAX: u32 = 15;
 
 /// Takes in what another gateway, or the store, tells.
-pub fn told(gateway: &Rc<Gateway>, all: &[Suspected], from: &str) {
+pub fn told(gateway: &Rc<Gateway>, all: &[SuspectReport], from: &str) {
     let now = gateway.clock.now();
     for suspected in all {
         if gateway.suspects.borrow_mut().told(suspected, now) {
@@ -80,7 +80,7 @@
             Ok(listed) => {
                 let stored = take(gateway, listed, &noted).await;
                 write_lost(gateway, &stored).await;
-                pause = QUARANTINE_LASTS;
+                pause = QUARANTINE_DURATION;
             }
             Err(error) => {
                 gateway.tally.count("store_errors_total", "quarantine");
@@ -121,7 +121,7 @@
         info!(gateway.log, "quarantine read"; "requests" => young.len(), "lapsed" => lapsed.len(),
             "revision" => %listed.revision);
     }
-    let suspected: Vec<Suspected> = young.into_iter().map(|stored| stored.suspected).collect();
+    let suspected: Vec<SuspectReport> = young.into_iter().map(|stored| stored.suspected).collect();
     told(gateway, &suspected, STORE);
     gateway.caught_up.set(true);
     let requests = suspected.iter().map(|suspected| suspected.request).collect();
--- a/src/mastweir/gateway/said.rs
+++ b/src/mastweir/gateway/said.rs
@@ -8,7 +8,7 @@
 use crate::platform::headers::{AnswerHead, NamedLimit};
 use hyper::StatusCode;
 use mastweir_core::{
-    gateway::{Candidate, LimitChange, LimitWord},
+    gateway::{Candidate, LimitChange, LimitReport},
     time::Uptime,
 };
 use slog::{info, warn};
@@ -65,7 +65,7 @@
         }
     };
     let now = gateway.clock.now();
-    let word = LimitWord { rate, asked: heard.asked, heard: now };
+    let word = LimitReport { rate, asked: heard.asked, heard: now };
     let change = gateway.fleet.borrow_mut().named_limit(id, *born, word, now);
     if let Some(change) = change {
         log_limit(gateway, id, change, "answer");
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -10,8 +10,8 @@
 };
 use mastweir_core::{
     gateway::{
-        Candidate, Config, Directory, Fleet, Named, Needs, Peers, Refusal, RetryWindow, Route,
-        RouteIndex, Suspects, Waits,
+        Candidate, Config, Directory, Fleet, Needs, PeerInfo, Peers, PoisonRequests, Refusal,
+        RetryWindow, Route, RouteIndex, Waits,
     },
     time::Uptime,
 };
@@ -100,7 +100,7 @@
     /// Tells requests that wait for room: something was heard of servers, or ended there.
     pub news: Notify,
     /// Requests under which servers ended.
-    pub suspects: RefCell<Suspects>,
+    pub suspects: RefCell<PoisonRequests>,
     /// Whether it has heard which requests are quarantined.
     pub caught_up: Cell<bool>,
     /// The latest version of a configuration that another gateway said it has, once one was
@@ -141,7 +141,7 @@
             internal: Pool::default(),
             fleet: RefCell::new(Fleet::new(&settings.hall)),
             rng: RefCell::new(rng),
-            gateways: RefCell::new(Peers::new(Named {
+            gateways: RefCell::new(Peers::new(PeerInfo {
                 ip: settings.ip,
                 hall: settings.hall.clone(),
                 power: settings.power,
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -16,7 +16,7 @@
     Response, StatusCode,
     body::{Frame, Incoming},
 };
-use mastweir_core::gateway::{Answer, Events, Pauses, Told};
+use mastweir_core::gateway::{AttemptResult, Events, StreamTiming, Told};
 use slog::info;
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -57,7 +57,7 @@
     events: Events,
     source: Option<Source>,
     resumed: u32,
-    pauses: Pauses,
+    pauses: StreamTiming,
     /// What the server had said last when the longest pause ended.
     slowest: Option<Told>,
     /// Until the last event has gone.
@@ -81,7 +81,7 @@
     let head = headers::for_caller(&got.parts.headers);
     let events = Events::after(call.head.last_event.clone());
     let source = Some(source(got));
-    let pauses = Pauses::new(gateway.clock.now(), call.age());
+    let pauses = StreamTiming::new(gateway.clock.now(), call.age());
     let relay = Relay {
         gateway,
         call,
@@ -231,7 +231,7 @@
         if !self.call.route().resumable {
             return false;
         }
-        let mut answer = Answer::Broken;
+        let mut answer = AttemptResult::Broken;
         while self.progress.runs < self.call.route().attempts {
             if !may_retry(&self.gateway, &self.call, &self.progress, answer) {
                 return false;
@@ -251,7 +251,7 @@
                     self.source = Some(source(got));
                     return true;
                 }
-                Ok(_) => answer = Answer::Failed,
+                Ok(_) => answer = AttemptResult::Failed,
                 Err(ended) => answer = ended,
             }
         }
--- a/src/mastweir/objects/liveness.rs
+++ b/src/mastweir/objects/liveness.rs
@@ -2,7 +2,7 @@
 //! [`mastweir_core::gateway::Liveness`], which decides it.
 
 use super::{Collection, Platform};
-use mastweir_core::gateway::{Liveness, PROBE_LASTS, Probe};
+use mastweir_core::gateway::{Liveness, PROBE_TIMEOUT, ProbeResult};
 use slog::{Logger, info};
 use std::time::Duration;
 use tokio::time;
@@ -13,8 +13,12 @@
     let mut liveness = Liveness::default();
     loop {
         time::sleep(liveness.pause(every)).await;
-        let answered = time::timeout(PROBE_LASTS, platform.probe(collection)).await;
-        let probe = if matches!(answered, Ok(Ok(()))) { Probe::Same } else { Probe::Missed };
+        let answered = time::timeout(PROBE_TIMEOUT, platform.probe(collection)).await;
+        let probe = if matches!(answered, Ok(Ok(()))) {
+            ProbeResult::Unchanged
+        } else {
+            ProbeResult::Missed
+        };
         if liveness.probed(probe).is_some() {
             info!(log, "watch given up behind an outage"; "collection" => collection.as_str());
             return;
--- a/src/mastweir/platform/quarantine.rs
+++ b/src/mastweir/platform/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests that are quarantined, as gateways keep them in the store.
 
 use mastweir_core::{
-    gateway::{Fingerprint, Suspected},
+    gateway::{Fingerprint, SuspectReport},
     revision::Revision,
 };
 use serde::{Deserialize, Serialize, de::Error};
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredQuarantine {
     /// What is known of it, and how old that is.
-    pub suspected: Suspected,
+    pub suspected: SuspectReport,
     /// Revision of the object, for a conditional delete.
     pub revision: Revision,
 }
@@ -41,7 +41,7 @@
 /// # Errors
 ///
 /// It can't be written as JSON.
-pub fn body(suspected: &Suspected) -> serde_json::Result<Value> {
+pub fn body(suspected: &SuspectReport) -> serde_json::Result<Value> {
     serde_json::to_value(QuarantineSpec {
         ends: suspected.ends.iter().map(Fingerprint::to_string).collect(),
         finished: suspected.finished,
@@ -58,7 +58,7 @@
     let spec: QuarantineSpec = serde_json::from_str(spec)?;
     let ends: serde_json::Result<Vec<_>> = spec.ends.iter().map(|end| fingerprint(end)).collect();
     let age = Duration::from_secs(now_s().saturating_sub(spec.written_s));
-    let suspected = Suspected {
+    let suspected = SuspectReport {
         request: fingerprint(name)?,
         ends: ends?,
         finished: spec.finished,
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -19,7 +19,7 @@
 use http_body_util::Full;
 use hyper::{Method, Request, header};
 use mastweir_core::{
-    gateway::{Config, PROBE_LASTS, Server, Suspected},
+    gateway::{Config, PROBE_TIMEOUT, Server, SuspectReport},
     revision::Revision,
 };
 use serde_json::{Value, json};
@@ -159,7 +159,7 @@
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if it is there already.
-    pub async fn write_quarantine(&self, suspected: &Suspected) -> Result<(), StoreError> {
+    pub async fn write_quarantine(&self, suspected: &SuspectReport) -> Result<(), StoreError> {
         let metadata = json!({ "name": quarantine::name(suspected.request) });
         let body = json!({ "metadata": metadata, "spec": quarantine::body(suspected)? });
         let path = format!("/objects/{}", quarantine::KIND);
@@ -206,7 +206,7 @@
             return Ok(true);
         }
         let path = format!("/objects/{kind}?watch={}&wait_ms=0&stale_ok=1", since.number);
-        let Answered { era, body } = self.call(Method::GET, &path, None, PROBE_LASTS).await?;
+        let Answered { era, body } = self.call(Method::GET, &path, None, PROBE_TIMEOUT).await?;
         let any: Read<()> = |_, _, _| Ok(());
         Ok(era != since.era || !objects::read_changes(&body, era, any)?.changes.is_empty())
     }
--- a/tests/testsuite/crashing_request.rs
+++ b/tests/testsuite/crashing_request.rs
@@ -23,7 +23,7 @@
 use crate::gateway::{answer, chunk, last_chunk, stream_head};
 use eyre::Result;
 use googletest::prelude::*;
-use mastweir_core::gateway::{Asked, Fingerprint};
+use mastweir_core::gateway::{Fingerprint, RequestParts};
 use mastweir_test_support::{
     fleet::{Fleet, ServerOptions, customer, model, wait_informed},
     scripted::{Act, Got, Scripted},
@@ -268,8 +268,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn is_kept_where_no_gateway_proved_it_alone() -> Result<()> {
     let world = World::new(2, "unsafe").await?;
-    let name =
-        Fingerprint::of(Asked { customer: "north", host: HOST, path: "/draft/a", body: CRASHES });
+    let name = Fingerprint::of(RequestParts {
+        customer: "north",
+        host: HOST,
+        path: "/draft/a",
+        body: CRASHES,
+    });
     expect_that!(world.call(0, "d-0", "crashes").await?.status, eq(502));
     // The first server's port is closed, and its end not proved.
     time::sleep(Duration::from_millis(60)).await;
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -31,7 +31,7 @@
 const IN_TOUCH: Duration = Duration::from_secs(3);
 /// The store's calls, as the gateway bounds them.
 const CALL_LASTS: Duration = Duration::from_millis(1_500);
-const PROBE_LASTS: Duration = Duration::from_millis(800);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Answer of the store.
 const ANSWER: Duration = Duration::from_millis(4);
 
@@ -169,7 +169,7 @@
 
     async fn probe(&self, since: Revision) -> std::result::Result<bool, StoreError> {
         self.probes.set(self.probes.get() + 1);
-        self.answer(PROBE_LASTS).await?;
+        self.answer(PROBE_TIMEOUT).await?;
         Ok(self.revision(self.now().saturating_sub(self.lag)) > since.number)
     }
 
--- a/tests/testsuite/gateway_core.rs
+++ b/tests/testsuite/gateway_core.rs
@@ -3,8 +3,9 @@
 use googletest::prelude::*;
 use mastweir_core::{
     gateway::{
-        Answer, Config, Events, Kind, Lag, Limits, Next, PassCost, Passes, Pauses, Proof,
-        RetryWindow, Route, RouteIndex, Step, Target, Versions, Waits, held, next,
+        AttemptResult, AttemptState, Config, Events, Kind, Lag, Limits, NextAction, PassCost,
+        Passes, Proof, RetryWindow, Route, RouteIndex, StreamTiming, Target, Versions, Waits, held,
+        next_action,
     },
     revision::Revision,
     time::Uptime,
@@ -86,24 +87,33 @@
 
 #[googletest::test]
 fn a_call_that_may_run_once_is_tried_again_only_on_proof() {
-    let step = |repeatable, attempts_left| Step {
+    let step = |repeatable, attempts_left| AttemptState {
         repeatable,
         maybe_run: false,
         attempts_left,
         left: Duration::from_secs(1),
     };
     for proof in [Proof::NeverSent, Proof::Refused, Proof::WrongServer] {
-        expect_that!(next(step(false, 1), Answer::NotRun(proof)), eq(Next::Retry));
-        expect_that!(next(step(false, 0), Answer::NotRun(proof)), eq(Next::EndNotRun));
+        expect_that!(
+            next_action(step(false, 1), AttemptResult::NotRun(proof)),
+            eq(NextAction::Retry)
+        );
+        expect_that!(
+            next_action(step(false, 0), AttemptResult::NotRun(proof)),
+            eq(NextAction::EndNotRun)
+        );
     }
-    expect_that!(next(step(false, 1), Answer::Broken), eq(Next::EndUnknown));
-    expect_that!(next(step(false, 1), Answer::Failed), eq(Next::PassOn));
-    expect_that!(next(step(true, 1), Answer::Broken), eq(Next::Retry));
+    expect_that!(next_action(step(false, 1), AttemptResult::Broken), eq(NextAction::EndUnknown));
+    expect_that!(next_action(step(false, 1), AttemptResult::Failed), eq(NextAction::Forward));
+    expect_that!(next_action(step(true, 1), AttemptResult::Broken), eq(NextAction::Retry));
     // Refused after it may have run: nobody may say that it has not.
-    let after = Step { maybe_run: true, ..step(false, 0) };
-    expect_that!(next(after, Answer::NotRun(Proof::Refused)), eq(Next::EndUnknown));
-    let late = Step { left: Duration::ZERO, ..step(true, 1) };
-    expect_that!(next(late, Answer::Broken), eq(Next::EndUnknown));
+    let after = AttemptState { maybe_run: true, ..step(false, 0) };
+    expect_that!(
+        next_action(after, AttemptResult::NotRun(Proof::Refused)),
+        eq(NextAction::EndUnknown)
+    );
+    let late = AttemptState { left: Duration::ZERO, ..step(true, 1) };
+    expect_that!(next_action(late, AttemptResult::Broken), eq(NextAction::EndUnknown));
 }
 
 #[googletest::test]
@@ -173,7 +183,7 @@
 #[googletest::test]
 fn a_stream_is_told_by_its_first_event_and_its_longest_pause() {
     let at = |ms: u64| Uptime::from_secs(5) + Duration::from_millis(ms);
-    let mut pauses = Pauses::new(at(0), Duration::from_millis(40));
+    let mut pauses = StreamTiming::new(at(0), Duration::from_millis(40));
     expect_that!(pauses.to_first(), none());
     // The wait for the first event is no pause.
     expect_that!(pauses.event(at(300)), eq(false));
--- a/tests/testsuite/lending.rs
+++ b/tests/testsuite/lending.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use mastweir_core::{
     gateway::{
-        Bar, Fleet, HANDOVER, Lender, LimitWord, Loan, Needs, Rate, Refusal, ServerState, Stream,
-        Told,
+        Exclusion, Fleet, HANDOVER, LimitReport, Needs, PermitGrant, PermitIssuer, Rate, Refusal,
+        ServerState, Stream, Told,
     },
     time::Uptime,
 };
@@ -31,7 +31,7 @@
 /// Gateways that lend all they may, at once.
 struct Lending {
     world: World,
-    lenders: Vec<Lender>,
+    lenders: Vec<PermitIssuer>,
     per_s: f64,
     /// What was lent for each server, in the time that is counted.
     lent: Vec<VecDeque<(Uptime, u32)>>,
@@ -40,14 +40,14 @@
 
 impl Lending {
     fn new(world: World, per_s: f64) -> Self {
-        let lenders = vec![Lender::default(); world.peers.len()];
+        let lenders = vec![PermitIssuer::default(); world.peers.len()];
         let lent = vec![VecDeque::new(); SERVERS];
         Self { world, lenders, per_s, lent, worst: 0.0 }
     }
 
     fn start_again(&mut self, number: usize) {
         self.world.start_again(number);
-        self.lenders[number] = Lender::default();
+        self.lenders[number] = PermitIssuer::default();
     }
 
     fn step(&mut self) {
@@ -64,7 +64,7 @@
             self.lenders[number].tend(own.map(String::as_str), now);
             let per_s = self.per_s * peers.part(&hall, now);
             for (id, lent) in ids.iter().zip(&mut self.lent) {
-                let Loan { count, .. } = self.lenders[number].lend(id, per_s, u32::MAX, now);
+                let PermitGrant { count, .. } = self.lenders[number].lend(id, per_s, u32::MAX, now);
                 lent.push_back((now, count));
             }
         }
@@ -135,7 +135,7 @@
 /// One that stands still, and goes on, has saved up no more than before.
 #[googletest::test]
 fn a_lender_that_stood_still_lends_what_it_had() {
-    let mut lender = Lender::default();
+    let mut lender = PermitIssuer::default();
     lender.tend(["a"].into_iter(), at(0));
     expect_that!(lender.lend("a", 10.0, 9, at(2_999)).count, eq(0));
     let begun = at(0) + HANDOVER;
@@ -151,9 +151,9 @@
 /// Whoever finds nothing is told to come back for a token of its own, not all for the next one.
 #[googletest::test]
 fn those_who_find_nothing_come_back_one_behind_the_other() {
-    let mut lender = Lender::default();
+    let mut lender = PermitIssuer::default();
     lender.tend(["a"].into_iter(), at(0));
-    let wait = |lender: &mut Lender, ms| lender.lend("a", 2.0, 1, at(ms)).wait.as_millis();
+    let wait = |lender: &mut PermitIssuer, ms| lender.lend("a", 2.0, 1, at(ms)).wait.as_millis();
     let waits: Vec<u128> = (0..4).map(|_| wait(&mut lender, 3_100)).collect();
     expect_that!(waits, elements_are![eq(&400), eq(&900), eq(&1_400), eq(&1_900)]);
     expect_that!(lender.lend("a", 2.0, 1, at(3_500)).count, eq(1));
@@ -171,7 +171,7 @@
 
 fn limit(fleet: &mut Fleet, id: &str, per_s: Option<f64>, ms: u64) {
     let rate = per_s.and_then(Rate::per_second);
-    let word = LimitWord { rate, asked: at(ms - 10), heard: at(ms) };
+    let word = LimitReport { rate, asked: at(ms - 10), heard: at(ms) };
     fleet.named_limit(id, 0, word, at(ms));
 }
 
@@ -238,7 +238,10 @@
         err(eq(&Refusal::Backoff(Duration::from_millis(2_900))))
     );
     expect_that!(fleet.may_send("a", true, at(300)), eq(false));
-    expect_that!(fleet.bar("a", at(300)), some(eq(Bar::Backoff(Duration::from_millis(2_900)))));
+    expect_that!(
+        fleet.bar("a", at(300)),
+        some(eq(Exclusion::Backoff(Duration::from_millis(2_900))))
+    );
 }
 
 /// Its sidecar sees the end of a limit where no request is sent; one whose reports never named
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -7,7 +7,7 @@
     LentFor, Load, Loads, Message, Poll, RANKS_SENT, RankBrief, RankReport, SectionReport,
 };
 use mastweir_core::{
-    gateway::{Limited, Named, Rate, Told},
+    gateway::{LimitUpdate, PeerInfo, Rate, Told},
     revision::Revision,
     switch::{
         map_change::RankState,
@@ -122,7 +122,7 @@
         leads: Vec::new(),
     });
     let leads = Message::Loads(Loads { leads: (0..16).map(lead).collect(), ..Loads::default() });
-    let named = |at| Named { ip: ip(at), hall: "region-1-hall-a".to_owned(), power: 16_000 };
+    let named = |at| PeerInfo { ip: ip(at), hall: "region-1-hall-a".to_owned(), power: 16_000 };
     let hello = Message::Hello(Hello {
         hall: "region-1-hall-a".to_owned(),
         power: 16_000,
@@ -138,7 +138,7 @@
     let id = |at: usize| format!("i-{:020}", u64::MAX - at as u64);
     let limits = Message::Limits(
         (0..LIMITS_SENT)
-            .map(|at| Limited {
+            .map(|at| LimitUpdate {
                 server: id(at),
                 born: 1_790_000_000_000,
                 rate: Rate::per_second(1e9),
--- a/tests/testsuite/notices.rs
+++ b/tests/testsuite/notices.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{listed, server};
 use googletest::prelude::*;
 use mastweir_core::{
-    gateway::{Bar, Directory, Fleet, Needs, Refusal, Server, ServerState, Told},
+    gateway::{Directory, Exclusion, Fleet, Needs, Refusal, Server, ServerState, Told},
     time::Uptime,
 };
 use rand::{SeedableRng, rngs::SmallRng};
@@ -78,7 +78,7 @@
         fleet.replace(list(6, &[]), after_outage, at(1_000));
         expect_that!(choose(&fleet, &[], at(1_100)), err(anything()));
         fleet.replace(list(7, &["a", "b"]), false, at(4_000));
-        expect_that!(fleet.bar("a", at(4_000)), some(eq(Bar::Leaving)));
+        expect_that!(fleet.bar("a", at(4_000)), some(eq(Exclusion::Leaving)));
         expect_that!(
             choose(&fleet, &[], at(4_000)),
             err(eq(&Refusal::Backoff(WAIT * 10 - Duration::from_secs(4))))
--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use mastweir_core::{
-    gateway::{Named, Peers, Said},
+    gateway::{PeerInfo, PeerState, Peers},
     time::Uptime,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -82,7 +82,7 @@
         let now = self.now;
         let sender = &self.peers[from];
         let named = named(from, self.halls);
-        let said = Said {
+        let said = PeerState {
             leaving: false,
             follows: !sender.is_speaker(self.is_seed(from), now),
             in_hall: sender.in_hall(now),
@@ -151,8 +151,8 @@
     }
 }
 
-fn named(number: usize, halls: usize) -> Named {
-    Named { ip: ip(number), hall: hall_name(number % halls), power: power(number, halls) }
+fn named(number: usize, halls: usize) -> PeerInfo {
+    PeerInfo { ip: ip(number), hall: hall_name(number % halls), power: power(number, halls) }
 }
 
 fn power(number: usize, halls: usize) -> u32 {
@@ -223,11 +223,11 @@
 
 #[googletest::test]
 fn gateways_that_fell_silent_still_count_for_the_shared_retries() {
-    let own = Named { ip: ip(0), hall: hall_name(0), power: 1 };
+    let own = PeerInfo { ip: ip(0), hall: hall_name(0), power: 1 };
     let mut peers = Peers::new(own);
-    let said = Said { leaving: false, follows: true, in_hall: 1, in_all: 1 };
+    let said = PeerState { leaving: false, follows: true, in_hall: 1, in_all: 1 };
     for number in 1..=20 {
-        let named = Named { ip: ip(number), hall: hall_name(0), power: 1 };
+        let named = PeerInfo { ip: ip(number), hall: hall_name(0), power: 1 };
         peers.heard(named, said, Uptime::default());
     }
     let later = Uptime::from_secs(30);
@@ -243,8 +243,9 @@
 /// `stuck`, 0.61 to 0.70 s behind `gateway started` of the other, and none of its own hall.
 #[googletest::test]
 fn one_that_still_takes_itself_for_a_speaker_is_told_on() {
-    let named = |number: usize, hall: &str| Named { ip: ip(number), hall: hall.into(), power: 9 };
-    let said = |follows| Said { leaving: false, follows, in_hall: 4, in_all: 5 };
+    let named =
+        |number: usize, hall: &str| PeerInfo { ip: ip(number), hall: hall.into(), power: 9 };
+    let said = |follows| PeerState { leaving: false, follows, in_hall: 4, in_all: 5 };
     let mut far = Peers::new(named(9, "north"));
     let mut now = Uptime::from_secs(10);
     for number in [1, 2, 3] {
--- a/tests/testsuite/rate_limits.rs
+++ b/tests/testsuite/rate_limits.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use mastweir::platform::headers::{NamedLimit, read_answer};
 use mastweir_core::{
-    gateway::{Fleet, LimitChange, LimitWord, Limited, Rate},
+    gateway::{Fleet, LimitChange, LimitReport, LimitUpdate, Rate},
     time::Uptime,
 };
 
@@ -26,8 +26,8 @@
 }
 
 /// An answer that came `ms` after the start, to a request that left 100 ms before.
-fn word(per_s: Option<f64>, ms: u64) -> LimitWord {
-    LimitWord { rate: per_s.and_then(rate), asked: at(ms - 100), heard: at(ms) }
+fn word(per_s: Option<f64>, ms: u64) -> LimitReport {
+    LimitReport { rate: per_s.and_then(rate), asked: at(ms - 100), heard: at(ms) }
 }
 
 fn heard(fleet: &mut Fleet, per_s: Option<f64>, ms: u64) -> Option<LimitChange> {
@@ -78,14 +78,14 @@
     let mut fleet = Fleet::new("here");
     heard(&mut fleet, Some(2.0), 1_000);
     heard(&mut fleet, None, 2_000);
-    let told = |rate, asked_ms, heard_ms| Limited {
+    let told = |rate, asked_ms, heard_ms| LimitUpdate {
         server: "a".to_owned(),
         born: 0,
         rate,
         asked_ms,
         heard_ms,
     };
-    let mut takes = |told: Limited, ms| fleet.named_limit("a", 0, told.word(at(ms)), at(ms));
+    let mut takes = |told: LimitUpdate, ms| fleet.named_limit("a", 0, told.word(at(ms)), at(ms));
     // What that gateway heard before the end.
     expect_that!(takes(told(rate(2.0), 1_600, 1_500), 2_500), none());
     // What it heard behind it.
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use mastweir_core::{
-    gateway::{Asked, Fingerprint, QUARANTINE_LASTS, Suspected, Suspects},
+    gateway::{Fingerprint, PoisonRequests, QUARANTINE_DURATION, RequestParts, SuspectReport},
     time::Uptime,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
@@ -23,7 +23,7 @@
 }
 
 fn asked<'a>(customer: &'a str, path: &'a str, body: &'a str) -> Fingerprint {
-    Fingerprint::of(Asked { customer, host: "a.example", path, body: body.as_bytes() })
+    Fingerprint::of(RequestParts { customer, host: "a.example", path, body: body.as_bytes() })
 }
 
 #[googletest::test]
@@ -43,7 +43,7 @@
 
 #[googletest::test]
 fn two_servers_that_ended_hold_a_request_back_and_one_does_not() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     expect_that!(suspects.ended(SUSPECT, life(1), at(0)), eq(false));
     expect_that!(suspects.ended(SUSPECT, life(1), at(1)), eq(false));
     expect_that!(suspects.quarantine(SUSPECT, at(2)), none());
@@ -55,7 +55,7 @@
 /// A group that loses a rank breaks off the streams of all its servers, which live on.
 #[googletest::test]
 fn servers_that_live_on_make_no_suspects() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     for number in 0..5 {
         suspects.suspect(SUSPECT, life(number), at(number));
         suspects.clear(SUSPECT, life(number));
@@ -73,7 +73,7 @@
 /// What is often asked runs at many servers, of which a hall's may all end at once.
 #[googletest::test]
 fn a_request_that_was_answered_is_held_back_only_behind_many_ends() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     suspects.finished(SUSPECT, at(0));
     for number in 0..7 {
         expect_that!(suspects.ended(SUSPECT, life(number), at(number)), eq(false));
@@ -81,42 +81,42 @@
     expect_that!(suspects.quarantine(SUSPECT, at(8)), none());
     expect_that!(suspects.ended(SUSPECT, life(7), at(9)), eq(true));
     // Another gateway's word that it was answered counts as much.
-    let mut other = Suspects::default();
+    let mut other = PoisonRequests::default();
     other.ended(SUSPECT, life(8), at(0));
     let ends = vec![life(9)];
-    other.told(&Suspected { request: SUSPECT, ends, finished: true, age_ms: 0 }, at(1));
+    other.told(&SuspectReport { request: SUSPECT, ends, finished: true, age_ms: 0 }, at(1));
     expect_that!(other.quarantine(SUSPECT, at(2)), none());
 }
 
 #[googletest::test]
 fn a_request_is_forgotten_once_nobody_has_asked_for_long() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     suspects.ended(SUSPECT, life(1), at(0));
     suspects.ended(SUSPECT, life(2), at(0));
-    let half = at(0) + QUARANTINE_LASTS / 2;
+    let half = at(0) + QUARANTINE_DURATION / 2;
     expect_that!(suspects.quarantine(SUSPECT, half), some(anything()));
-    let told = suspects.quarantined(9, half + QUARANTINE_LASTS / 2);
-    suspects.expire(at(0) + QUARANTINE_LASTS);
+    let told = suspects.quarantined(9, half + QUARANTINE_DURATION / 2);
+    suspects.expire(at(0) + QUARANTINE_DURATION);
     expect_that!(suspects.is_empty(), eq(false));
-    suspects.expire(half + QUARANTINE_LASTS);
+    suspects.expire(half + QUARANTINE_DURATION);
     expect_that!(suspects.is_empty(), eq(true));
     // What others tell has the age of the last attempt, so it is not kept up for ever.
-    let mut other = Suspects::default();
+    let mut other = PoisonRequests::default();
     for suspected in &told {
-        other.told(suspected, at(0) + QUARANTINE_LASTS);
+        other.told(suspected, at(0) + QUARANTINE_DURATION);
     }
-    expect_that!(other.quarantine(SUSPECT, at(1) + QUARANTINE_LASTS), some(anything()));
-    let mut late = Suspects::default();
+    expect_that!(other.quarantine(SUSPECT, at(1) + QUARANTINE_DURATION), some(anything()));
+    let mut late = PoisonRequests::default();
     told.iter().for_each(|suspected| {
         let age_ms = suspected.age_ms * 2;
-        late.told(&Suspected { age_ms, ..suspected.clone() }, at(9));
+        late.told(&SuspectReport { age_ms, ..suspected.clone() }, at(9));
     });
     expect_that!(late.is_empty(), eq(true));
 }
 
 #[googletest::test]
 fn memory_is_bounded_and_what_is_held_back_is_kept() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     suspects.ended(SUSPECT, life(1), at(0));
     suspects.ended(SUSPECT, life(2), at(0));
     for number in 0..50_000 {
@@ -133,10 +133,10 @@
 fn gateways_agree_whatever_is_lost_between_them() {
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut gateways = vec![Suspects::default(); 5];
+        let mut gateways = vec![PoisonRequests::default(); 5];
         let mut ends: HashMap<Fingerprint, HashSet<Fingerprint>> = HashMap::new();
         let mut answered: HashSet<Fingerprint> = HashSet::new();
-        let mut on_way: Vec<Suspected> = Vec::new();
+        let mut on_way: Vec<SuspectReport> = Vec::new();
         let mut now = 0;
         for _ in 0..400 {
             now += rng.random_range(1..80);
@@ -156,7 +156,7 @@
                 2 if rng.random_bool(0.2) => {
                     let other = (gateway + 1) % gateways.len();
                     let held = gateways[other].quarantined(usize::MAX, at(now));
-                    gateways[gateway] = Suspects::default();
+                    gateways[gateway] = PoisonRequests::default();
                     for suspected in held {
                         gateways[gateway].told(&suspected, at(now));
                     }
@@ -179,10 +179,10 @@
         // All hear all, and find the same; what ended enough of them is held back.
         now += 2_000;
         for _ in 0..3 {
-            let tells = |gateway: &Suspects| {
+            let tells = |gateway: &PoisonRequests| {
                 [gateway.quarantined(usize::MAX, at(now)), gateway.news(at(now))].concat()
             };
-            let told: Vec<Suspected> = gateways.iter().flat_map(tells).collect();
+            let told: Vec<SuspectReport> = gateways.iter().flat_map(tells).collect();
             for suspects in &mut gateways {
                 for suspected in &told {
                     suspects.told(suspected, at(now));
@@ -204,7 +204,7 @@
 /// What costs a gateway that serves and sees none of it: a look at an empty table.
 #[googletest::test]
 fn nothing_is_told_while_no_server_ends() {
-    let mut suspects = Suspects::default();
+    let mut suspects = PoisonRequests::default();
     (0..10_000).for_each(|number| suspects.finished(Fingerprint(number), at(number)));
     expect_that!(suspects.is_empty(), eq(true));
     expect_that!(suspects.news(at(10_000)), is_empty());
