--- a/crates/mastweir-bench/src/commands/plans.rs
+++ b/crates/mastweir-bench/src/commands/plans.rs
@@ -7,7 +7,7 @@
         Workload,
         layer_planner::{LayerPlanner, Planning},
     },
-    switch::maps::dealt,
+    switch::maps::round_robin_map,
 };
 use rand::{SeedableRng, rngs::SmallRng, seq::SliceRandom};
 use std::time::Instant;
@@ -52,7 +52,7 @@
             load_slowdown: 0.15,
         };
         let mut rng = SmallRng::seed_from_u64(args.seed);
-        let mut map = dealt(sets, experts, ranks);
+        let mut map = round_robin_map(sets, experts, ranks);
         for moment in ["start", "shift"] {
             let demand: Vec<Vec<f64>> = (0..sets).map(|_| steep(experts, &mut rng)).collect();
             let case = format!("{ranks}x{experts}x{sets}-{moment}");
--- a/crates/mastweir-core/src/switch/maps.rs
+++ b/crates/mastweir-core/src/switch/maps.rs
@@ -12,14 +12,14 @@
     sync::Arc,
 };
 
-/// Maps that are kept: the one in force, the one that is being loaded, and one that a
+/// MapCache that are kept: the one in force, the one that is being loaded, and one that a
 /// coordinator before had loaded.
-const KEPT: usize = 4;
+const MAPS_MAX: usize = 4;
 
 /// A map by what changes against another that sidecars know: 8 bytes a rank and set that
 /// change, where all of it is 40 KB in a group of 512 ranks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MapChange {
+pub struct MapDelta {
     /// Version of the map.
     pub version: u64,
     /// Version of the one that it is based on.
@@ -29,19 +29,19 @@
     /// Experts of a set at a rank, where they differ from the base.
     pub changes: Vec<(u16, u16, Vec<u16>)>,
     /// All of it, for sidecars that lack the base.
-    pub whole: Option<GroupMap>,
+    pub full: Option<GroupMap>,
 }
 
-/// Maps by version, of one life of a group.
+/// MapCache by version, of one life of a group.
 #[derive(Debug, Default)]
-pub struct Maps {
+pub struct MapCache {
     epoch: u64,
     maps: BTreeMap<u64, Arc<GroupMap>>,
 }
 
-impl Maps {
+impl MapCache {
     /// Forgets what was known of another life of the group.
-    pub fn enter(&mut self, epoch: u64) {
+    pub fn set_epoch(&mut self, epoch: u64) {
         if std::mem::replace(&mut self.epoch, epoch) != epoch {
             self.maps.clear();
         }
@@ -53,64 +53,64 @@
     }
 
     /// Keeps a map.
-    pub fn keep(&mut self, version: u64, map: Arc<GroupMap>) {
+    pub fn insert(&mut self, version: u64, map: Arc<GroupMap>) {
         self.maps.insert(version, map);
-        while self.maps.len() > KEPT {
+        while self.maps.len() > MAPS_MAX {
             self.maps.pop_first();
         }
     }
 
     /// The map that a change makes, if its base is known.
     #[must_use]
-    pub fn apply(&mut self, change: &MapChange) -> Option<Arc<GroupMap>> {
-        if let Some(map) = self.get(change.version).filter(|map| digest(map) == change.digest) {
+    pub fn apply(&mut self, delta: &MapDelta) -> Option<Arc<GroupMap>> {
+        if let Some(map) = self.get(delta.version).filter(|map| digest(map) == delta.digest) {
             return Some(map);
         }
-        let map = match &change.whole {
-            Some(whole) => whole.clone(),
-            None => changed(&*self.get(change.base)?, &change.changes)?,
+        let map = match &delta.full {
+            Some(full) => full.clone(),
+            None => apply_changes(&*self.get(delta.base)?, &delta.changes)?,
         };
-        if digest(&map) != change.digest {
+        if digest(&map) != delta.digest {
             return None;
         }
         let map = Arc::new(map);
-        self.keep(change.version, map.clone());
+        self.insert(delta.version, map.clone());
         Some(map)
     }
 }
 
-fn changed(base: &GroupMap, changes: &[(u16, u16, Vec<u16>)]) -> Option<GroupMap> {
+fn apply_changes(base: &GroupMap, changes: &[(u16, u16, Vec<u16>)]) -> Option<GroupMap> {
     let mut map = base.clone();
     for (set, rank, experts) in changes {
-        let place = map.get_mut(usize::from(*set))?.get_mut(usize::from(*rank))?;
-        place.clone_from(experts);
+        let slot = map.get_mut(usize::from(*set))?.get_mut(usize::from(*rank))?;
+        slot.clone_from(experts);
     }
     Some(map)
 }
 
-impl MapChange {
+impl MapDelta {
     /// What changes from one map to another.
     pub fn from_base(base: (u64, &GroupMap), version: u64, map: &GroupMap) -> Self {
         let mut changes = Vec::new();
         for (set, (before, now)) in base.1.iter().zip(map).enumerate() {
             for (rank, (before, now)) in before.iter().zip(now).enumerate() {
                 if before != now {
-                    changes.push((number(set), number(rank), now.clone()));
+                    changes.push((index(set), index(rank), now.clone()));
                 }
             }
         }
-        Self { version, base: base.0, digest: digest(map), changes, whole: None }
+        Self { version, base: base.0, digest: digest(map), changes, full: None }
     }
 
     /// All of a map.
-    pub fn whole(version: u64, map: &GroupMap) -> Self {
-        let whole = Some(map.clone());
-        Self { version, base: 0, digest: digest(map), changes: Vec::new(), whole }
+    pub fn full(version: u64, map: &GroupMap) -> Self {
+        let full = Some(map.clone());
+        Self { version, base: 0, digest: digest(map), changes: Vec::new(), full }
     }
 }
 
-fn number(of: usize) -> u16 {
-    u16::try_from(of).unwrap_or(u16::MAX)
+fn index(position: usize) -> u16 {
+    u16::try_from(position).unwrap_or(u16::MAX)
 }
 
 /// Tells maps apart. Both sides run one version of this program.
@@ -121,7 +121,7 @@
 }
 
 /// The map of a group's new life, as its pages say: experts dealt out in turn.
-pub fn dealt(sets: usize, experts: usize, ranks: usize) -> GroupMap {
+pub fn round_robin_map(sets: usize, experts: usize, ranks: usize) -> GroupMap {
     let experts = u16::try_from(experts).unwrap_or(u16::MAX);
     let of = |rank: usize| (0..experts).filter(|e| usize::from(*e) % ranks == rank).collect();
     vec![(0..ranks).map(of).collect(); sets]
--- a/crates/mastweir-core/src/switch/mod.rs
+++ b/crates/mastweir-core/src/switch/mod.rs
@@ -21,7 +21,7 @@
 pub mod map_change;
 pub mod maps;
 mod rank;
-pub mod sections;
+pub mod subtrees;
 
 pub use coordinator::{Coordinator, Progress};
 pub use lease::{Holding, Lease, LeaseRecord};
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -10,7 +10,7 @@
     revision::Revision,
     switch::{
         map_change::{OrderOutcome, RankState},
-        maps::MapChange,
+        maps::MapDelta,
     },
     time::Uptime,
 };
@@ -310,7 +310,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// The map that is to be loaded, if one is.
-    pub map: Option<MapChange>,
+    pub map: Option<MapDelta>,
     /// The orders.
     pub orders: Vec<Directed>,
 }
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/carry.rs
@@ -9,7 +9,7 @@
 use futures_util::future::join_all;
 use mastweir_core::switch::{
     map_change::{Order, OrderKind, OrderOutcome},
-    maps::{MapChange, dealt},
+    maps::{MapDelta, round_robin_map},
 };
 use slog::warn;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -63,7 +63,7 @@
     join_all(carried).await
 }
 
-async fn pass_on(sidecar: &Sidecar, order: Directed, map: Option<&MapChange>) -> OrderReply {
+async fn pass_on(sidecar: &Sidecar, order: Directed, map: Option<&MapDelta>) -> OrderReply {
     let server = order.server;
     let batch = Batch { map: map.cloned(), orders: vec![order] };
     let addr = sidecar.addr(server.ip());
@@ -76,7 +76,7 @@
     replies.into_iter().next().map(|(_, reply)| reply).unwrap_or_default()
 }
 
-async fn carry_own(sidecar: &Sidecar, order: Directed, map: Option<&MapChange>) -> OrderReply {
+async fn carry_own(sidecar: &Sidecar, order: Directed, map: Option<&MapDelta>) -> OrderReply {
     let kind = match order.brief {
         Brief::Schedule { version, pass } => OrderKind::Schedule { version, pass },
         Brief::Cancel { version } => OrderKind::Cancel { version },
@@ -107,8 +107,8 @@
     let rank = state.as_ref().and_then(|state| state.rank.as_ref());
     let model = sidecar.model.borrow();
     if let (None, Some(rank), Some(model)) = (maps.get(0), rank, model.as_ref()) {
-        let map = dealt(model.sets, model.experts, rank.size as usize);
-        maps.keep(0, Arc::new(map));
+        let map = round_robin_map(model.sets, model.experts, rank.size as usize);
+        maps.insert(0, Arc::new(map));
     }
 }
 
--- a/src/mastweir/sidecar/find_map.rs
+++ b/src/mastweir/sidecar/find_map.rs
@@ -5,7 +5,7 @@
 use futures_util::future::join_all;
 use mastweir_core::switch::{
     map_change::{GroupMap, RankExperts},
-    maps::dealt,
+    maps::round_robin_map,
 };
 use slog::{info, warn};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -39,7 +39,7 @@
     }
 
     fn keep(&mut self, version: u64, map: Arc<GroupMap>) {
-        self.sidecar.maps.borrow_mut().keep(version, map.clone());
+        self.sidecar.maps.borrow_mut().insert(version, map.clone());
         self.map = Some((version, map));
     }
 
@@ -47,7 +47,7 @@
     async fn dealt(&self, ranks: usize) -> Option<Arc<GroupMap>> {
         let (sets, experts) =
             self.sidecar.model.borrow().as_ref().map(|model| (model.sets, model.experts))?;
-        let map = dealt(sets, experts, ranks);
+        let map = round_robin_map(sets, experts, ranks);
         let own = self.own_rank();
         let (version, held) = self.sidecar.engine.map().await.ok()?;
         let sorted = |experts: &Vec<u16>| {
--- a/src/mastweir/sidecar/known.rs
+++ b/src/mastweir/sidecar/known.rs
@@ -6,7 +6,7 @@
 use mastweir_core::{
     experts::recent_demand::RecentDemand,
     gateway::Model,
-    switch::sections::{Member, Members, Section, sections},
+    switch::subtrees::{GroupMember, GroupMembers, Subtree, subtrees},
     time::Uptime,
 };
 use std::{
@@ -38,14 +38,14 @@
     /// The ranks' states.
     pub ranks: Ranks,
     /// The members.
-    pub members: Members,
+    pub members: GroupMembers,
     /// What requests choose.
     pub demand: Option<RecentDemand>,
     /// Number of the last poll, and of the last that asked for counts.
     pub round: u64,
     pub counted: u64,
     polled: Uptime,
-    sections: Vec<Section>,
+    sections: Vec<Subtree>,
     sums: Option<Sums>,
     /// The set that is asked for next.
     next: usize,
@@ -57,7 +57,7 @@
     pub fn new(began: Uptime) -> Self {
         Self {
             ranks: Ranks::new(began),
-            members: Members::new(),
+            members: GroupMembers::new(),
             demand: None,
             round: 0,
             counted: 0,
@@ -74,14 +74,14 @@
         for (server, hall) in &view.servers {
             let member = self.members.entry(*server).or_default();
             member.hall.clone_from(hall);
-            member.listed = now;
+            member.last_listed = now;
         }
         self.forget_gone(now);
     }
 
     fn forget_gone(&mut self, now: Uptime) {
-        let is_here = |member: &Member| {
-            let heard = member.heard.unwrap_or_default().max(member.listed);
+        let is_here = |member: &GroupMember| {
+            let heard = member.last_seen.unwrap_or_default().max(member.last_listed);
             now.since(heard) < MEMBER_LASTS
         };
         self.members.retain(|_, member| is_here(member));
@@ -89,17 +89,17 @@
 
     /// Begins a poll: its number and the sections that are asked. Heads that have not
     /// answered the one before are passed over for a while.
-    pub fn begin_round(&mut self, now: Uptime) -> &[Section] {
+    pub fn begin_round(&mut self, now: Uptime) -> &[Subtree] {
         for head in self.sections.iter().filter_map(|section| section.first()) {
             let Some(member) = self.members.get_mut(head) else { continue };
-            let answered = member.heard.is_some_and(|at| at >= self.polled);
+            let answered = member.last_seen.is_some_and(|at| at >= self.polled);
             if !answered && now.since(self.polled) >= POLL_EVERY / 2 {
-                member.failed = Some(now);
+                member.last_failure = Some(now);
             }
         }
         self.round += 1;
         self.polled = now;
-        self.sections = sections(&self.members, now);
+        self.sections = subtrees(&self.members, now);
         &self.sections
     }
 
@@ -138,11 +138,11 @@
 
     fn seen(&mut self, rank: RankBrief, joins: bool, now: Uptime) {
         let member = self.members.entry(rank.server).or_default();
-        member.heard = Some(now);
+        member.last_seen = Some(now);
         if joins {
-            member.listed = now;
+            member.last_listed = now;
         } else {
-            member.failed = None;
+            member.last_failure = None;
         }
         self.ranks.report(rank, now);
     }
@@ -165,19 +165,19 @@
     }
 
     /// Sections as they are now.
-    pub fn sections(&self, now: Uptime) -> Vec<Section> {
-        sections(&self.members, now)
+    pub fn sections(&self, now: Uptime) -> Vec<Subtree> {
+        subtrees(&self.members, now)
     }
 
     /// A head did not answer.
     pub fn failed(&mut self, head: SocketAddr, now: Uptime) {
         if let Some(member) = self.members.get_mut(&head) {
-            member.failed = Some(now);
+            member.last_failure = Some(now);
         }
     }
 
     /// Addresses of the sidecars of a section but its head.
-    pub fn rest(section: &Section) -> Vec<IpAddr> {
+    pub fn rest(section: &Subtree) -> Vec<IpAddr> {
         section.iter().skip(1).map(SocketAddr::ip).collect()
     }
 }
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -24,7 +24,7 @@
 };
 use mastweir_core::switch::{
     map_change::{GroupMap, Order, OrderKind, OrderOutcome, RankState},
-    maps::MapChange,
+    maps::MapDelta,
 };
 use slog::{info, warn};
 use std::{
@@ -100,24 +100,24 @@
 }
 
 /// What changes in the map that is to be loaded, if one is.
-fn map_change(given: Basis<'_>, orders: &[Addressed]) -> Option<MapChange> {
+fn map_change(given: Basis<'_>, orders: &[Addressed]) -> Option<MapDelta> {
     let (version, map) = orders.iter().find_map(|order| match &order.order.kind {
         OrderKind::Load { version, map } => Some((*version, map)),
         _ => None,
     })?;
-    let change = given.base.map(|base| MapChange::from_base(base, version, map));
-    Some(change.unwrap_or_else(|| MapChange::whole(version, map)))
+    let change = given.base.map(|base| MapDelta::from_base(base, version, map));
+    Some(change.unwrap_or_else(|| MapDelta::full(version, map)))
 }
 
 /// The same with all of the map, if a sidecar of the section lacks the base.
-fn change_for(change: &MapChange, section: &[Addressed], given: Basis<'_>) -> MapChange {
+fn change_for(change: &MapDelta, section: &[Addressed], given: Basis<'_>) -> MapDelta {
     let lacks = section.iter().any(|order| given.lacking.contains(&order.seen.server));
     let map = section.iter().find_map(|order| match &order.order.kind {
         OrderKind::Load { map, .. } => Some(map),
         _ => None,
     });
     match map.filter(|_| lacks) {
-        Some(map) => MapChange::whole(change.version, map),
+        Some(map) => MapDelta::full(change.version, map),
         None => change.clone(),
     }
 }
@@ -151,7 +151,7 @@
     shared: &Shared,
     head: SocketAddr,
     section: Vec<Addressed>,
-    map: Option<MapChange>,
+    map: Option<MapDelta>,
 ) -> Vec<Replied> {
     let orders = section.iter().filter_map(directed).collect();
     let batch = Batch { map, orders };
@@ -187,7 +187,7 @@
     let Addressed { rank, seen, order } = order;
     let engine = Engine::new(seen.server, sidecar.internal.clone());
     if let (OrderKind::Load { version, map }, true) = (&order.kind, seen.server == sidecar.server) {
-        sidecar.maps.borrow_mut().keep(*version, map.clone());
+        sidecar.maps.borrow_mut().insert(*version, map.clone());
     }
     let reply = if seen.read_at.is_none() || seen.server == sidecar.server {
         carry::carry_out(sidecar, &engine, &order).await
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -55,7 +55,7 @@
         *passes = Passes::default();
     }
     if let Some(rank) = &state.rank {
-        sidecar.maps.borrow_mut().enter(rank.epoch);
+        sidecar.maps.borrow_mut().set_epoch(rank.epoch);
     }
     passes.seen(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
     sidecar.pass_ms.set(passes.mean_ms());
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -15,7 +15,7 @@
 };
 use mastweir_core::{
     gateway::{Listeners, Model},
-    switch::maps::Maps,
+    switch::maps::MapCache,
     time::Uptime,
 };
 use slog::Logger;
@@ -94,7 +94,7 @@
     /// The answers of the section, where this sidecar is its head.
     pub answers: RefCell<Answers>,
     /// The group's maps.
-    pub maps: RefCell<Maps>,
+    pub maps: RefCell<MapCache>,
     /// Reports for this sidecar as the coordinator.
     pub reports: mpsc::Sender<Message>,
     /// The other end of it.
--- a/tests/testsuite/elections.rs
+++ b/tests/testsuite/elections.rs
@@ -5,7 +5,7 @@
 use mastweir_core::{
     switch::{
         election::Election,
-        sections::{Member, Members, sections},
+        subtrees::{GroupMember, GroupMembers, subtrees},
     },
     time::Uptime,
 };
@@ -22,7 +22,7 @@
     election: Election,
     alive: bool,
     /// Token, and what it knows of the others, while it coordinates.
-    leads: Option<(u64, Members)>,
+    leads: Option<(u64, GroupMembers)>,
     /// When its lease is answered.
     asked: Option<u64>,
 }
@@ -82,13 +82,13 @@
         self.ranks[to].alive && self.rng.random_range(0..100) >= self.lost_pct
     }
 
-    fn members(&mut self) -> Members {
+    fn members(&mut self) -> GroupMembers {
         let halls = 5;
-        let mut members = Members::new();
+        let mut members = GroupMembers::new();
         for at in 0..self.ranks.len() {
             if self.rng.random_range(0..100) < self.listed_pct {
                 let hall = format!("hall-{}", at % halls);
-                members.insert(addr(at), Member { hall, ..Member::default() });
+                members.insert(addr(at), GroupMember { hall, ..GroupMember::default() });
             }
         }
         members
@@ -109,10 +109,10 @@
         let now = self.now();
         let Some((token, mut members)) = self.ranks[lead].leads.take() else { return };
         self.ranks[lead].election.heard(token, now);
-        for section in sections(&members, now) {
+        for section in subtrees(&members, now) {
             let (head, rest) = (number(section[0]), &section[1..]);
             if head != lead && !self.passes(head) {
-                members.entry(section[0]).and_modify(|member| member.failed = Some(now));
+                members.entry(section[0]).and_modify(|member| member.last_failure = Some(now));
                 continue;
             }
             self.polled(head, token);
@@ -123,7 +123,7 @@
             }
             if head == lead || self.passes(lead) {
                 for addr in &section {
-                    members.entry(*addr).and_modify(|member| member.heard = Some(now));
+                    members.entry(*addr).and_modify(|member| member.last_seen = Some(now));
                 }
             }
         }
@@ -131,7 +131,7 @@
         for at in 0..self.ranks.len() {
             let joins = self.ranks[at].election.token() == token && self.passes(lead);
             if joins && !members.contains_key(&addr(at)) {
-                members.insert(addr(at), Member::default());
+                members.insert(addr(at), GroupMember::default());
             }
         }
         if self.ranks[lead].election.token() == token {
--- a/tests/testsuite/group_maps.rs
+++ b/tests/testsuite/group_maps.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use mastweir_core::switch::{
     map_change::GroupMap,
-    maps::{MapChange, Maps, dealt},
+    maps::{MapCache, MapDelta, round_robin_map},
 };
 use proptest::{
     prelude::*,
@@ -41,10 +41,10 @@
     ]
 }
 
-fn fresh() -> Maps {
-    let mut maps = Maps::default();
-    maps.enter(1);
-    maps.keep(0, Arc::new(dealt(SETS, EXPERTS, RANKS)));
+fn fresh() -> MapCache {
+    let mut maps = MapCache::default();
+    maps.set_epoch(1);
+    maps.insert(0, Arc::new(round_robin_map(SETS, EXPERTS, RANKS)));
     maps
 }
 
@@ -54,9 +54,9 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = prop::collection::vec(step(), 60);
     let result = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        let mut sidecars: Vec<Maps> = (0..RANKS).map(|_| fresh()).collect();
-        let mut planned: Vec<(u64, GroupMap)> = vec![(0, dealt(SETS, EXPERTS, RANKS))];
-        let mut changes: Vec<MapChange> = Vec::new();
+        let mut sidecars: Vec<MapCache> = (0..RANKS).map(|_| fresh()).collect();
+        let mut planned: Vec<(u64, GroupMap)> = vec![(0, round_robin_map(SETS, EXPERTS, RANKS))];
+        let mut changes: Vec<MapDelta> = Vec::new();
         let mut base = 0;
         for step in steps {
             match step {
@@ -65,7 +65,7 @@
                     let mut next = map.clone();
                     next[rank % SETS][rank % RANKS].push(expert);
                     let number = planned.len() as u64;
-                    changes.push(MapChange::from_base((*version, map), number, &next));
+                    changes.push(MapDelta::from_base((*version, map), number, &next));
                     planned.push((number, next));
                     base = planned.len() - 1;
                 }
@@ -78,7 +78,7 @@
                 }
                 Step::Whole(at) => {
                     let (version, map) = &planned[base];
-                    let told = sidecars[at % RANKS].apply(&MapChange::whole(*version, map));
+                    let told = sidecars[at % RANKS].apply(&MapDelta::full(*version, map));
                     prop_assert_eq!(told.as_deref(), Some(map));
                 }
                 Step::Restart(at) => sidecars[at % RANKS] = fresh(),
@@ -96,11 +96,12 @@
 #[googletest::test]
 fn another_life_of_the_group_knows_no_map() {
     let mut maps = fresh();
-    let (before, mut next) = (dealt(SETS, EXPERTS, RANKS), dealt(SETS, EXPERTS, RANKS));
+    let (before, mut next) =
+        (round_robin_map(SETS, EXPERTS, RANKS), round_robin_map(SETS, EXPERTS, RANKS));
     next[0][0].push(11);
-    let change = MapChange::from_base((0, &before), 9, &next);
+    let change = MapDelta::from_base((0, &before), 9, &next);
     expect_that!(maps.apply(&change).as_deref(), some(eq(&next)));
-    maps.enter(2);
+    maps.set_epoch(2);
     expect_that!(maps.get(9), none());
     expect_that!(maps.apply(&change), none());
 }
@@ -108,11 +109,12 @@
 /// A base that differs is not taken for the one that was meant.
 #[googletest::test]
 fn a_change_on_another_base_is_refused() {
-    let (before, mut next) = (dealt(SETS, EXPERTS, RANKS), dealt(SETS, EXPERTS, RANKS));
+    let (before, mut next) =
+        (round_robin_map(SETS, EXPERTS, RANKS), round_robin_map(SETS, EXPERTS, RANKS));
     next[1][2].push(7);
-    let change = MapChange::from_base((0, &before), 3, &next);
-    let mut maps = Maps::default();
-    maps.enter(1);
-    maps.keep(0, Arc::new(dealt(SETS, EXPERTS, RANKS - 1)));
+    let change = MapDelta::from_base((0, &before), 3, &next);
+    let mut maps = MapCache::default();
+    maps.set_epoch(1);
+    maps.insert(0, Arc::new(round_robin_map(SETS, EXPERTS, RANKS - 1)));
     expect_that!(maps.apply(&change), none());
 }
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -11,8 +11,8 @@
     revision::Revision,
     switch::{
         map_change::RankState,
-        maps::MapChange,
-        sections::{Member, Members, sections},
+        maps::MapDelta,
+        subtrees::{GroupMember, GroupMembers, subtrees},
     },
     time::Uptime,
 };
@@ -66,12 +66,15 @@
 
 #[googletest::test]
 fn every_datagram_fits_its_link_at_512_ranks() {
-    let members: Members = (0..512)
+    let members: GroupMembers = (0..512)
         .map(|number| {
-            (server(number), Member { hall: format!("hall-{}", number % 7), ..Member::default() })
+            (
+                server(number),
+                GroupMember { hall: format!("hall-{}", number % 7), ..GroupMember::default() },
+            )
         })
         .collect();
-    let all = sections(&members, Uptime::default());
+    let all = subtrees(&members, Uptime::default());
     let longest = all.iter().map(Vec::len).max().unwrap_or(0);
     let poll = Message::Poll(Poll {
         group: group(),
@@ -167,10 +170,10 @@
     for (ranks, halls) in [(2, 2), (12, 3), (32, 3), (96, 5), (512, 7)] {
         let member = |number: usize| {
             let hall = format!("hall-{}", number % halls);
-            (server(number), Member { hall, ..Member::default() })
+            (server(number), GroupMember { hall, ..GroupMember::default() })
         };
-        let members: Members = (0..ranks).map(member).collect();
-        let parts = sections(&members, Uptime::default());
+        let members: GroupMembers = (0..ranks).map(member).collect();
+        let parts = subtrees(&members, Uptime::default());
         let in_all: usize = parts.iter().map(Vec::len).sum();
         expect_that!(in_all, eq(ranks));
         for part in &parts {
@@ -188,19 +191,22 @@
 #[googletest::test]
 fn a_silent_rank_heads_no_section() {
     let now = Uptime::from_secs(10);
-    let mut members: Members = (0..32)
+    let mut members: GroupMembers = (0..32)
         .map(|number| {
-            let heard = Some(now);
-            (server(number), Member { hall: "a".to_owned(), heard, ..Member::default() })
+            let last_seen = Some(now);
+            (
+                server(number),
+                GroupMember { hall: "a".to_owned(), last_seen, ..GroupMember::default() },
+            )
         })
         .collect();
-    expect_that!(sections(&members, now)[0][0], eq(server(0)));
-    members.entry(server(0)).and_modify(|member| member.failed = Some(now));
-    expect_that!(sections(&members, now)[0][0], eq(server(1)));
-    members.entry(server(1)).and_modify(|member| member.heard = None);
-    expect_that!(sections(&members, now)[0][0], eq(server(2)));
+    expect_that!(subtrees(&members, now)[0][0], eq(server(0)));
+    members.entry(server(0)).and_modify(|member| member.last_failure = Some(now));
+    expect_that!(subtrees(&members, now)[0][0], eq(server(1)));
+    members.entry(server(1)).and_modify(|member| member.last_seen = None);
+    expect_that!(subtrees(&members, now)[0][0], eq(server(2)));
     let later = now + std::time::Duration::from_secs(3);
-    let all_old = sections(&members, later);
+    let all_old = subtrees(&members, later);
     expect_that!(all_old[0][0], eq(server(0)));
 }
 
@@ -210,14 +216,14 @@
 fn a_map_is_told_by_what_changes() {
     let whole = vec![vec![vec![190_u16; 3]; 512]; 16];
     let changes = (0..500).map(|at: u16| (at % 16, at, vec![190_u16, 180, 170])).collect();
-    let change = |whole, changes| MapChange {
+    let change = |full, changes| MapDelta {
         version: (900 << 20) + 2,
         base: (900 << 20) + 1,
         digest: u64::MAX,
         changes,
-        whole,
+        full,
     };
-    let bytes = |change: &MapChange| postcard::to_stdvec(change).map_or(0, |bytes| bytes.len());
+    let bytes = |change: &MapDelta| postcard::to_stdvec(change).map_or(0, |bytes| bytes.len());
     expect_that!(bytes(&change(Some(whole), Vec::new())), gt(40_000));
     expect_that!(bytes(&change(None, changes)), lt(6_000));
 }
