--- a/crates/mastweir-core/src/outcome/attempt.rs
+++ b/crates/mastweir-core/src/outcome/attempt.rs
@@ -1,7 +1,7 @@
 //! One try of a call at one server, with its life cycle in its type.
 //!
 //! ```text
-//! Opening --sent--> Sent --head--> Answering --end--> (whole answer)
+//! Connecting --sent--> Sent --head--> Answering --end--> (whole answer)
 //!    |                |                |
 //!    +----------------+----------------+--> Evidence
 //! ```
@@ -16,7 +16,7 @@
 
 /// The connection is being opened; no byte of the attempt has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opening;
+pub struct Connecting;
 
 /// The order has left; the server may run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 /// };
 ///
 /// let fence = Fence { server: "s1".to_owned(), incarnation: Incarnation(7) };
-/// let attempt = Attempt::open(1, fence, 0);
+/// let attempt = Attempt::new(1, fence, 0);
 /// assert_eq!(attempt.clone().fail(), Evidence::NotSent);
 /// assert_eq!(attempt.sent().lose(), Evidence::Lost);
 /// ```
@@ -67,10 +67,10 @@
     }
 }
 
-impl Attempt<Opening> {
+impl Attempt<Connecting> {
     /// Starts an attempt that asks for the answer from `from` on.
-    pub const fn open(number: u32, fence: Fence, from: u64) -> Self {
-        Self { number, fence, from, state: Opening }
+    pub const fn new(number: u32, fence: Fence, from: u64) -> Self {
+        Self { number, fence, from, state: Connecting }
     }
 
     /// The connection did not open.
@@ -105,7 +105,7 @@
 impl Attempt<Answering> {
     /// Takes `len` units that start at `at`. True if they are the next ones;
     /// repeated or missing units are not taken.
-    pub fn take(&mut self, at: u64, len: u64) -> bool {
+    pub fn accept(&mut self, at: u64, len: u64) -> bool {
         if at != self.state.offset {
             return false;
         }
--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -2,20 +2,20 @@
 //!
 //! The shell (sockets and timers) feeds an [`Event`] and carries out the one
 //! [`Action`] that comes back. Two kinds of call differ in what a failure
-//! allows, see [`Plan`]. At the end comes [`Action::Finish`], exactly once.
+//! allows, see [`RetryPolicy`]. At the end comes [`Action::Finish`], exactly once.
 
-use super::{Answering, Attempt, Evidence, Opening, Outcome, Refusal, Sent};
+use super::{Answering, Attempt, Connecting, Evidence, Outcome, Refusal, Sent};
 use crate::{id::Fence, route::RetryBudget};
 use std::{mem, time::Duration};
 
 /// Tries of one call at most, the first included.
-const TRIES_MAX: u32 = 4;
+const ATTEMPTS_MAX: u32 = 4;
 /// Wait before the second try at the same agent; doubles with each.
-const BACKOFF: Duration = Duration::from_millis(20);
+const BACKOFF_MIN: Duration = Duration::from_millis(20);
 
 /// What a failure of an attempt allows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum RetryPolicy {
     /// May be repeated: any server, chosen anew for each attempt.
     Repeatable {
         /// Whether another server can go on where one was lost. Otherwise an
@@ -23,12 +23,12 @@
         resumable: bool,
     },
     /// Runs at most once: these agents only, in this order.
-    Once {
+    AtMostOnce {
         /// The operation's fences.
         fences: Vec<Fence>,
         /// Whether only this call submits the operation. Then a connection
         /// that never opened proves that it did not run there.
-        private: bool,
+        exclusive: bool,
     },
 }
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The connection is open and the order is about to leave.
-    Opened,
+    Connected,
     /// The connection did not open.
-    OpenFailed,
+    ConnectFailed,
     /// The agent refused.
     Refused(Refusal),
     /// The head of the answer came.
@@ -55,7 +55,7 @@
     /// The time for the call is over.
     Deadline,
     /// The caller left.
-    CallerGone,
+    CallerDisconnected,
 }
 
 /// What the shell does next.
@@ -64,7 +64,7 @@
     /// Choose a server other than the one tried last, then [`Call::routed`].
     Route,
     /// Wait, then open a connection to the agent and ask from unit `from` on.
-    Open {
+    Connect {
         /// The agent.
         fence: Fence,
         /// First unit wanted.
@@ -73,11 +73,11 @@
         wait: Duration,
     },
     /// Wait for the next event of the attempt.
-    Read,
+    AwaitEvent,
     /// Hand the head of the answer to the caller.
-    DeliverHead,
+    ForwardHead,
     /// Hand the unit to the caller.
-    Deliver,
+    ForwardChunk,
     /// Tell the caller. Nothing comes after it.
     Finish {
         /// The truth.
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 enum Phase {
     Routing,
-    Opening(Attempt<Opening>),
+    Connecting(Attempt<Connecting>),
     Sent(Attempt<Sent>),
     Answering(Attempt<Answering>),
     Over,
@@ -103,35 +103,35 @@
 /// ```
 /// use mastweir_core::{
 ///     id::{Fence, Incarnation},
-///     outcome::{Action, Call, Event, Outcome, Plan},
+///     outcome::{Action, Call, Event, Outcome, RetryPolicy},
 ///     route::RetryBudget,
 /// };
 ///
 /// let fence = Fence { server: "s1".to_owned(), incarnation: Incarnation(7) };
 /// let mut budget = RetryBudget::default();
-/// let plan = Plan::Once { fences: vec![fence], private: true };
+/// let plan = RetryPolicy::AtMostOnce { fences: vec![fence], exclusive: true };
 /// let mut call = Call::new(plan);
-/// assert!(matches!(call.begin(), Action::Open { .. }));
-/// assert_eq!(call.on(Event::Opened, &mut budget), Action::Read);
+/// assert!(matches!(call.start(), Action::Connect { .. }));
+/// assert_eq!(call.handle(Event::Connected, &mut budget), Action::AwaitEvent);
 /// // Lost after it was sent: ask the same agent again, which joins or replays.
-/// assert!(matches!(call.on(Event::Lost, &mut budget), Action::Open { .. }));
+/// assert!(matches!(call.handle(Event::Lost, &mut budget), Action::Connect { .. }));
 /// // Not even that works before the deadline: the truth is "unknown".
-/// let end = call.on(Event::Deadline, &mut budget);
+/// let end = call.handle(Event::Deadline, &mut budget);
 /// assert!(matches!(end, Action::Finish { outcome: Outcome::Unknown, .. }));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Call {
-    plan: Plan,
+    plan: RetryPolicy,
     phase: Phase,
     /// Index of the current fence of a call that runs once.
-    place: usize,
-    tries: u32,
+    fence_index: usize,
+    attempts: u32,
     /// Tries at the current fence.
-    here: u32,
+    fence_attempts: u32,
     /// Whether an attempt has left that may have run.
-    maybe_ran: bool,
+    may_have_run: bool,
     /// Whether an attempt was lost at the current fence.
-    lost_here: bool,
+    connection_lost: bool,
     head_seen: bool,
     /// Whether the caller has seen a part of the answer.
     committed: bool,
@@ -140,15 +140,15 @@
 
 impl Call {
     /// A call that has not begun.
-    pub const fn new(plan: Plan) -> Self {
+    pub const fn new(plan: RetryPolicy) -> Self {
         Self {
             plan,
             phase: Phase::Routing,
-            place: 0,
-            tries: 0,
-            here: 0,
-            maybe_ran: false,
-            lost_here: false,
+            fence_index: 0,
+            attempts: 0,
+            fence_attempts: 0,
+            may_have_run: false,
+            connection_lost: false,
             head_seen: false,
             committed: false,
             delivered: 0,
@@ -156,16 +156,16 @@
     }
 
     /// The first action.
-    pub fn begin(&mut self) -> Action {
+    pub fn start(&mut self) -> Action {
         match &self.plan {
-            Plan::Repeatable { .. } => Action::Route,
-            Plan::Once { .. } => self.open_place(None),
+            RetryPolicy::Repeatable { .. } => Action::Route,
+            RetryPolicy::AtMostOnce { .. } => self.connect_fence(None),
         }
     }
 
     /// Attempts begun.
-    pub const fn tries(&self) -> u32 {
-        self.tries
+    pub const fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     /// Units of the answer that were handed on.
@@ -174,107 +174,109 @@
     }
 
     /// Place in the list of a call that runs once, from 0.
-    pub const fn place(&self) -> usize {
-        self.place
+    pub const fn fence_index(&self) -> usize {
+        self.fence_index
     }
 
     /// The shell begins to hand the answer to the caller as it comes, so it
     /// can't begin anew.
-    pub const fn commit(&mut self) {
+    pub const fn mark_committed(&mut self) {
         self.committed = true;
     }
 
     /// The answer to [`Action::Route`]; `None` if no server will do.
     pub fn routed(&mut self, fence: Option<Fence>) -> Action {
         match fence {
-            Some(fence) => self.open(fence, Duration::ZERO),
+            Some(fence) => self.connect(fence, Duration::ZERO),
             None => self.give_up(None),
         }
     }
 
     /// Takes an event in.
-    pub fn on(&mut self, event: Event, budget: &mut RetryBudget) -> Action {
+    pub fn handle(&mut self, event: Event, budget: &mut RetryBudget) -> Action {
         match (mem::replace(&mut self.phase, Phase::Over), event) {
-            (Phase::Over, _) => Action::Read,
-            (phase, Event::Deadline | Event::CallerGone) => self.stop(&phase),
-            (Phase::Opening(attempt), Event::Opened) => {
+            (Phase::Over, _) => Action::AwaitEvent,
+            (phase, Event::Deadline | Event::CallerDisconnected) => self.stop(&phase),
+            (Phase::Connecting(attempt), Event::Connected) => {
                 self.phase = Phase::Sent(attempt.sent());
-                Action::Read
+                Action::AwaitEvent
             }
-            (Phase::Opening(attempt), Event::OpenFailed | Event::Lost) => {
-                self.not_sent(attempt.fail(), budget)
+            (Phase::Connecting(attempt), Event::ConnectFailed | Event::Lost) => {
+                self.on_not_sent(attempt.fail(), budget)
             }
             (Phase::Sent(attempt), Event::Head) => {
                 self.phase = Phase::Answering(attempt.head());
                 let first = !mem::replace(&mut self.head_seen, true);
-                if first { Action::DeliverHead } else { Action::Read }
+                if first { Action::ForwardHead } else { Action::AwaitEvent }
             }
             (Phase::Sent(attempt), Event::Refused(why)) => {
-                self.refused(why, attempt.refuse(why), budget)
+                self.on_refused(why, attempt.refuse(why), budget)
             }
-            (Phase::Sent(attempt), Event::Lost) => self.lost(attempt.lose(), budget),
+            (Phase::Sent(attempt), Event::Lost) => self.on_lost(attempt.lose(), budget),
             (Phase::Answering(mut attempt), Event::Chunk { at }) => {
-                let taken = attempt.take(at, 1);
+                let taken = attempt.accept(at, 1);
                 self.delivered = attempt.offset();
                 self.phase = Phase::Answering(attempt);
-                if taken { Action::Deliver } else { Action::Read }
+                if taken { Action::ForwardChunk } else { Action::AwaitEvent }
             }
             (Phase::Answering(_), Event::End) => finish(Outcome::Done, None),
             (Phase::Answering(attempt), Event::Lost | Event::Refused(_)) => {
-                self.lost(attempt.lose(), budget)
+                self.on_lost(attempt.lose(), budget)
             }
             // A late or foreign event changes nothing.
             (phase, _) => {
                 self.phase = phase;
-                Action::Read
+                Action::AwaitEvent
             }
         }
     }
 
-    fn not_sent(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
+    fn on_not_sent(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         match &self.plan {
-            Plan::Repeatable { .. } => self.reroute(evidence, budget),
-            Plan::Once { private: true, .. } if !self.lost_here => self.next_place(evidence),
-            Plan::Once { .. } => self.again(evidence, budget),
+            RetryPolicy::Repeatable { .. } => self.reroute(evidence, budget),
+            RetryPolicy::AtMostOnce { exclusive: true, .. } if !self.connection_lost => {
+                self.next_fence(evidence)
+            }
+            RetryPolicy::AtMostOnce { .. } => self.retry_fence(evidence, budget),
         }
     }
 
-    fn refused(&mut self, why: Refusal, evidence: Evidence, budget: &mut RetryBudget) -> Action {
+    fn on_refused(&mut self, why: Refusal, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         let elsewhere = why.is_local();
         match &self.plan {
-            Plan::Repeatable { .. } if elsewhere => self.reroute(evidence, budget),
-            Plan::Repeatable { .. } => self.give_up(Some(evidence)),
-            Plan::Once { private, .. } => {
-                let consumed = *private && !self.lost_here;
+            RetryPolicy::Repeatable { .. } if elsewhere => self.reroute(evidence, budget),
+            RetryPolicy::Repeatable { .. } => self.give_up(Some(evidence)),
+            RetryPolicy::AtMostOnce { exclusive, .. } => {
+                let consumed = *exclusive && !self.connection_lost;
                 if !why.is_tombstone() && !consumed {
-                    self.maybe_ran = true;
+                    self.may_have_run = true;
                     return self.give_up(Some(evidence));
                 }
                 // A shared operation is refused for good only once every one
                 // of its agents has a tombstone: another submission may be on
                 // its way along the same list.
-                let go_on = !*private || (elsewhere && budget.withdraw());
-                if go_on { self.next_place(evidence) } else { self.give_up(Some(evidence)) }
+                let go_on = !*exclusive || (elsewhere && budget.withdraw());
+                if go_on { self.next_fence(evidence) } else { self.give_up(Some(evidence)) }
             }
         }
     }
 
-    fn lost(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
-        self.lost_here = true;
+    fn on_lost(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
+        self.connection_lost = true;
         match self.plan {
-            Plan::Repeatable { resumable } => {
-                self.maybe_ran = true;
-                if !resumable && !self.restart() {
+            RetryPolicy::Repeatable { resumable } => {
+                self.may_have_run = true;
+                if !resumable && !self.restart_answer() {
                     return self.give_up(Some(evidence));
                 }
                 self.reroute(evidence, budget)
             }
-            Plan::Once { .. } => self.again(evidence, budget),
+            RetryPolicy::AtMostOnce { .. } => self.retry_fence(evidence, budget),
         }
     }
 
     fn reroute(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
-        if self.tries >= TRIES_MAX || !budget.withdraw() {
+        if self.attempts >= ATTEMPTS_MAX || !budget.withdraw() {
             return self.give_up(Some(evidence));
         }
         self.phase = Phase::Routing;
@@ -282,7 +284,7 @@
     }
 
     /// Begins the answer anew. False if the caller has seen some of it.
-    fn restart(&mut self) -> bool {
+    fn restart_answer(&mut self) -> bool {
         if self.committed {
             return false;
         }
@@ -292,54 +294,54 @@
     }
 
     /// Asks the same agent again: its ledger joins, replays or runs.
-    fn again(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
-        if self.here >= TRIES_MAX || !budget.withdraw() {
-            self.maybe_ran = true;
+    fn retry_fence(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
+        if self.fence_attempts >= ATTEMPTS_MAX || !budget.withdraw() {
+            self.may_have_run = true;
             return self.give_up(Some(evidence));
         }
-        self.open_place(Some(BACKOFF * (1 << self.here.min(8))))
+        self.connect_fence(Some(BACKOFF_MIN * (1 << self.fence_attempts.min(8))))
     }
 
-    fn next_place(&mut self, evidence: Evidence) -> Action {
-        let Plan::Once { fences, .. } = &self.plan else { return Action::Read };
-        if self.place + 1 >= fences.len() {
+    fn next_fence(&mut self, evidence: Evidence) -> Action {
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.plan else { return Action::AwaitEvent };
+        if self.fence_index + 1 >= fences.len() {
             return self.give_up(Some(evidence));
         }
-        self.place += 1;
-        self.here = 0;
-        self.lost_here = false;
-        self.open_place(None)
+        self.fence_index += 1;
+        self.fence_attempts = 0;
+        self.connection_lost = false;
+        self.connect_fence(None)
     }
 
-    fn open_place(&mut self, wait: Option<Duration>) -> Action {
-        let Plan::Once { fences, .. } = &self.plan else { return Action::Read };
-        match fences.get(self.place).cloned() {
-            Some(fence) => self.open(fence, wait.unwrap_or_default()),
+    fn connect_fence(&mut self, wait: Option<Duration>) -> Action {
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.plan else { return Action::AwaitEvent };
+        match fences.get(self.fence_index).cloned() {
+            Some(fence) => self.connect(fence, wait.unwrap_or_default()),
             None => self.give_up(None),
         }
     }
 
-    fn open(&mut self, fence: Fence, wait: Duration) -> Action {
-        self.tries += 1;
-        self.here += 1;
+    fn connect(&mut self, fence: Fence, wait: Duration) -> Action {
+        self.attempts += 1;
+        self.fence_attempts += 1;
         let from = self.delivered;
-        self.phase = Phase::Opening(Attempt::open(self.tries, fence.clone(), from));
-        Action::Open { fence, from, wait }
+        self.phase = Phase::Connecting(Attempt::new(self.attempts, fence.clone(), from));
+        Action::Connect { fence, from, wait }
     }
 
     fn stop(&mut self, phase: &Phase) -> Action {
         let sent = matches!(phase, Phase::Sent(_) | Phase::Answering(_));
         // The current place of a shared operation may have been reached by
         // another submission, and so may one that was not tried yet.
-        let shared = matches!(self.plan, Plan::Once { private: false, .. });
-        let maybe = self.maybe_ran || sent || self.lost_here || shared;
+        let shared = matches!(self.plan, RetryPolicy::AtMostOnce { exclusive: false, .. });
+        let maybe = self.may_have_run || sent || self.connection_lost || shared;
         let outcome = if maybe { Outcome::Unknown } else { Outcome::NotRun };
         Action::Finish { outcome, evidence: None, cancel: sent }
     }
 
     fn give_up(&mut self, evidence: Option<Evidence>) -> Action {
         self.phase = Phase::Over;
-        finish(if self.maybe_ran { Outcome::Unknown } else { Outcome::NotRun }, evidence)
+        finish(if self.may_have_run { Outcome::Unknown } else { Outcome::NotRun }, evidence)
     }
 }
 
--- a/crates/mastweir-core/src/outcome/ledger.rs
+++ b/crates/mastweir-core/src/outcome/dedup.rs
@@ -45,18 +45,18 @@
 
 /// What an agent knows of an operation after it was sealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sealed {
+pub enum SealResult {
     /// It never ran here and never will.
-    Never,
+    NotRun,
     /// It waits or runs now, or has ended.
-    Ran,
+    Admitted,
     /// The agent can't know.
-    CannotTell,
+    Unknown,
 }
 
 /// Bounds of a ledger.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct DedupLimits {
     /// Records at most.
     pub records: usize,
     /// Bytes of kept answers at most.
@@ -67,7 +67,7 @@
     pub horizon: Duration,
 }
 
-impl Default for Limits {
+impl Default for DedupLimits {
     fn default() -> Self {
         Self {
             records: 200_000,
@@ -83,7 +83,7 @@
     Waiting(A),
     Running(A),
     Ended { answer: Option<A>, size: usize },
-    Broken,
+    Incomplete,
     Tombstone(Refusal),
 }
 
@@ -98,11 +98,11 @@
 /// ```
 /// use mastweir_core::{
 ///     id::{Incarnation, OpId},
-///     outcome::{Ledger, Limits, Order, Refusal, Verdict},
+///     outcome::{DedupTable, DedupLimits, Order, Refusal, Verdict},
 ///     time::Uptime,
 /// };
 ///
-/// let mut ledger = Ledger::new(Incarnation(1), Limits::default());
+/// let mut ledger = DedupTable::new(Incarnation(1), DedupLimits::default());
 /// let order = Order {
 ///     op: OpId::from_key("quaystep", "rebook-17"),
 ///     incarnation: Incarnation(1),
@@ -110,23 +110,23 @@
 /// };
 /// let now = Uptime::from_secs(1);
 /// assert_eq!(ledger.admit(&order, now, "answer"), Verdict::Run);
-/// ledger.withdraw(order.op, Refusal::Overloaded);
+/// ledger.cancel(order.op, Refusal::Overloaded);
 /// // A late copy is refused, and so the caller may be told "not run".
 /// let late = ledger.admit(&order, now, "answer");
 /// assert_eq!(late, Verdict::Refuse(Refusal::Overloaded));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Ledger<A> {
+pub struct DedupTable<A> {
     incarnation: Incarnation,
-    limits: Limits,
+    limits: DedupLimits,
     records: HashMap<OpId, Record<A>>,
     expiry: BTreeMap<(Uptime, OpId), ()>,
     kept: usize,
 }
 
-impl<A: Clone> Ledger<A> {
+impl<A: Clone> DedupTable<A> {
     /// An empty ledger, for a process that has just started.
-    pub fn new(incarnation: Incarnation, limits: Limits) -> Self {
+    pub fn new(incarnation: Incarnation, limits: DedupLimits) -> Self {
         Self { incarnation, limits, records: HashMap::new(), expiry: BTreeMap::new(), kept: 0 }
     }
 
@@ -155,7 +155,7 @@
             return verdict(&record.state);
         }
         if self.records.len() >= self.limits.records {
-            return Verdict::Refuse(Refusal::LedgerFull);
+            return Verdict::Refuse(Refusal::TableFull);
         }
         self.insert(order, State::Waiting(answer));
         Verdict::Run
@@ -171,7 +171,7 @@
     }
 
     /// Refuses an operation that has not begun, for good. False if it has.
-    pub fn withdraw(&mut self, op: OpId, why: Refusal) -> bool {
+    pub fn cancel(&mut self, op: OpId, why: Refusal) -> bool {
         let Some(record) = self.records.get_mut(&op) else { return false };
         match record.state {
             State::Waiting(_) => {
@@ -184,7 +184,7 @@
     }
 
     /// The engine never saw it although it was started: a tombstone after all.
-    pub fn revoke(&mut self, op: OpId, why: Refusal) {
+    pub fn cancel_started(&mut self, op: OpId, why: Refusal) {
         let Some(record) = self.records.get_mut(&op) else { return };
         if matches!(record.state, State::Running(_)) {
             record.state = State::Tombstone(why);
@@ -203,29 +203,29 @@
     }
 
     /// It began, and its answer will never be whole.
-    pub fn break_off(&mut self, op: OpId) {
+    pub fn mark_incomplete(&mut self, op: OpId) {
         let Some(record) = self.records.get_mut(&op) else { return };
         if matches!(record.state, State::Running(_)) {
-            record.state = State::Broken;
+            record.state = State::Incomplete;
         }
     }
 
     /// Makes sure that an operation which has not begun never will, and tells
     /// what is known of it.
-    pub fn seal(&mut self, order: &Order, now: Uptime) -> Sealed {
+    pub fn seal(&mut self, order: &Order, now: Uptime) -> SealResult {
         self.expire(now);
         if self.void(order, now).is_some() {
-            return Sealed::CannotTell;
+            return SealResult::Unknown;
         }
         match self.records.get(&order.op) {
             Some(record) => match record.state {
-                State::Tombstone(_) => Sealed::Never,
-                _ => Sealed::Ran,
+                State::Tombstone(_) => SealResult::NotRun,
+                _ => SealResult::Admitted,
             },
-            None if self.records.len() >= self.limits.records => Sealed::CannotTell,
+            None if self.records.len() >= self.limits.records => SealResult::Unknown,
             None => {
                 self.insert(order, State::Tombstone(Refusal::Withdrawn));
-                Sealed::Never
+                SealResult::NotRun
             }
         }
     }
@@ -268,8 +268,8 @@
     match state {
         State::Waiting(answer) | State::Running(answer) => Verdict::Join(answer.clone()),
         State::Ended { answer: Some(answer), .. } => Verdict::Join(answer.clone()),
-        State::Ended { answer: None, .. } => Verdict::Refuse(Refusal::AnswerGone),
-        State::Broken => Verdict::Refuse(Refusal::Broken),
+        State::Ended { answer: None, .. } => Verdict::Refuse(Refusal::AnswerEvicted),
+        State::Incomplete => Verdict::Refuse(Refusal::Incomplete),
         State::Tombstone(why) => Verdict::Refuse(*why),
     }
 }
--- a/crates/mastweir-core/src/outcome/mod.rs
+++ b/crates/mastweir-core/src/outcome/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! The way chosen (`docs/design/outcomes.md` weighs the others): a call that
 //! may not be repeated is bound to an ordered list of [`Fence`]s, each one life
-//! of one agent. The agent's [`Ledger`] runs an operation at most once and
+//! of one agent. The agent's [`DedupTable`] runs an operation at most once and
 //! remembers a refusal as a tombstone, and the next fence of the list may be
 //! tried only on the tombstone of the one before. The list travels with the
 //! caller, in a [`Ticket`], or is kept in the object API under a plain key.
@@ -17,12 +17,12 @@
 
 mod attempt;
 mod call;
-mod ledger;
+mod dedup;
 mod ticket;
 
-pub use attempt::{Answering, Attempt, Opening, Sent};
-pub use call::{Action, Call, Event, Plan};
-pub use ledger::{Ledger, Limits, Order, Sealed, Verdict};
+pub use attempt::{Answering, Attempt, Connecting, Sent};
+pub use call::{Action, Call, Event, RetryPolicy};
+pub use dedup::{DedupLimits, DedupTable, Order, SealResult, Verdict};
 pub use ticket::{Binding, Ticket, TicketError};
 
 use serde::{Deserialize, Serialize};
@@ -65,17 +65,17 @@
     /// The server does not serve that.
     NotServed,
     /// The engine could not be reached, and no byte had left.
-    EngineAway,
+    EngineUnreachable,
     /// Addressed to another incarnation of the agent: that one may have run it.
     OtherIncarnation,
     /// Too old for the agent to know whether it ran.
     Expired,
     /// The ledger has no room to remember it.
-    LedgerFull,
+    TableFull,
     /// It ran, and its answer is not kept any more.
-    AnswerGone,
+    AnswerEvicted,
     /// It began to run, and did not come to an end.
-    Broken,
+    Incomplete,
 }
 
 impl Refusal {
@@ -87,12 +87,12 @@
             | Self::Deadline
             | Self::Withdrawn
             | Self::NotServed
-            | Self::EngineAway => true,
+            | Self::EngineUnreachable => true,
             Self::OtherIncarnation
             | Self::Expired
-            | Self::LedgerFull
-            | Self::AnswerGone
-            | Self::Broken => false,
+            | Self::TableFull
+            | Self::AnswerEvicted
+            | Self::Incomplete => false,
         }
     }
 
--- a/crates/mastweir-core/src/outcome/ticket.rs
+++ b/crates/mastweir-core/src/outcome/ticket.rs
@@ -51,7 +51,7 @@
     Forged,
     /// Made for another customer or service.
     #[error("reading the ticket: made for another customer or service; get one of your own")]
-    Foreign,
+    WrongOwner,
 }
 
 impl Ticket {
@@ -80,23 +80,23 @@
         customer: &str,
         service: &str,
     ) -> Result<Self, TicketError> {
-        let raw = unhex(text).ok_or(TicketError::Forged)?;
+        let raw = decode_hex(text).ok_or(TicketError::Forged)?;
         let split = raw.len().checked_sub(MAC_LEN).ok_or(TicketError::Forged)?;
         let (body, mac) = raw.split_at(split);
         let mut whole = [0; MAC_LEN];
         whole.copy_from_slice(&blake3::keyed_hash(secret, body).as_bytes()[..MAC_LEN]);
-        if !constant_eq(mac, &whole) {
+        if !constant_time_eq(mac, &whole) {
             return Err(TicketError::Forged);
         }
         let ticket: Self = postcard::from_bytes(body).map_err(|_| TicketError::Forged)?;
         if ticket.customer != customer || ticket.service != service {
-            return Err(TicketError::Foreign);
+            return Err(TicketError::WrongOwner);
         }
         Ok(ticket)
     }
 }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
+fn decode_hex(text: &str) -> Option<Vec<u8>> {
     let hex = text.strip_prefix(PREFIX)?;
     if hex.len() > TEXT_MAX || !hex.len().is_multiple_of(2) || !hex.is_ascii() {
         return None;
@@ -105,7 +105,7 @@
     pairs.map(|i| u8::from_str_radix(&hex[i..i + 2], 16).ok()).collect()
 }
 
-fn constant_eq(a: &[u8], b: &[u8; MAC_LEN]) -> bool {
+fn constant_time_eq(a: &[u8], b: &[u8; MAC_LEN]) -> bool {
     let Ok(a) = <[u8; MAC_LEN]>::try_from(a) else { return false };
     let mut left = [0; 32];
     let mut right = [0; 32];
--- a/src/mastweir/agent/engine.rs
+++ b/src/mastweir/agent/engine.rs
@@ -104,7 +104,7 @@
     let response = match request.send().await {
         Ok(response) => response,
         // No connection: no byte left.
-        Err(error) if error.is_connect() => return End::Refused(Refusal::EngineAway),
+        Err(error) if error.is_connect() => return End::Refused(Refusal::EngineUnreachable),
         Err(_) => return End::Broken,
     };
     if let Some(wait) = http::backs_off(response.status(), response.headers()) {
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -11,7 +11,7 @@
 use crate::Context;
 use mastweir_core::{
     id::OpId,
-    outcome::{Ledger, Limits, Order, Refusal, Verdict},
+    outcome::{DedupLimits, DedupTable, Order, Refusal, Verdict},
     share::{CustomerTag, Entry, FairQueue, Offer, WAIT_MAX_S},
     time::Uptime,
     wire::{Load, Start},
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct State {
     queue: FairQueue<CustomerTag, Arc<Job>>,
-    ledger: Ledger<Arc<Answer>>,
+    ledger: DedupTable<Arc<Answer>>,
     running: u16,
     leaving: bool,
     /// Until then the engine wants no requests.
@@ -69,7 +69,7 @@
     pub fn new(context: &Context, options: &AgentOptions) -> Self {
         let state = State {
             queue: FairQueue::new(options.queue),
-            ledger: Ledger::new(context.incarnation, Limits::default()),
+            ledger: DedupTable::new(context.incarnation, DedupLimits::default()),
             running: 0,
             leaving: false,
             backs_off: Uptime::default(),
@@ -114,7 +114,7 @@
         match self.enqueue(&mut state, &job, now) {
             Ok(()) => Ok(job),
             Err(why) => {
-                state.ledger.withdraw(job.start.op, why);
+                state.ledger.cancel(job.start.op, why);
                 Err(why)
             }
         }
@@ -295,13 +295,13 @@
     job.answer.end(end);
 }
 
-fn note(ledger: &mut Ledger<Arc<Answer>>, op: OpId, end: End, size: usize) {
+fn note(ledger: &mut DedupTable<Arc<Answer>>, op: OpId, end: End, size: usize) {
     match end {
         End::Whole(_) => ledger.finish(op, size),
-        End::Broken | End::EngineEnded => ledger.break_off(op),
+        End::Broken | End::EngineEnded => ledger.mark_incomplete(op),
         End::Refused(why) => {
-            if !ledger.withdraw(op, why) {
-                ledger.revoke(op, why);
+            if !ledger.cancel(op, why) {
+                ledger.cancel_started(op, why);
             }
         }
     }
--- a/src/mastweir/agent/mod.rs
+++ b/src/mastweir/agent/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! Entries open channels to it and hand it orders. It decides who is served
 //! next (a [`FairQueue`]), makes sure that what may not be repeated runs at
-//! most once (a [`Ledger`]), calls the engine or plain service beside it, and
+//! most once (a [`DedupTable`]), calls the engine or plain service beside it, and
 //! writes the answer where the order's connection, and any that joins it, reads
 //! it ([`answer::Answer`]). It needs the platform only to learn the epoch of
 //! its rank group's lease.
 //!
 //! [`FairQueue`]: mastweir_core::share::FairQueue
-//! [`Ledger`]: mastweir_core::outcome::Ledger
+//! [`DedupTable`]: mastweir_core::outcome::DedupTable
 
 mod answer;
 mod engine;
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -22,7 +22,7 @@
 use mastweir_core::{
     gateway::Quarantine,
     id::{Fence, OpId},
-    outcome::{Action, Binding, Call, Event, Evidence, Outcome, Plan},
+    outcome::{Action, Binding, Call, Event, Evidence, Outcome, RetryPolicy},
     route::Signal,
     time::Uptime,
 };
@@ -99,7 +99,7 @@
         }
         if self.order.service.repeatable {
             let resumable = self.order.service.resumable && self.order.streamed;
-            let end = self.drive(Call::new(Plan::Repeatable { resumable })).await;
+            let end = self.drive(Call::new(RetryPolicy::Repeatable { resumable })).await;
             return self.conclude(end).await;
         }
         let places = match keys::places(&self.shared, &self.order).await {
@@ -129,27 +129,27 @@
         let fences = places.bindings.iter().map(|binding| binding.fence.clone()).collect();
         self.op = places.op;
         self.bindings = places.bindings;
-        self.drive(Call::new(Plan::Once { fences, private: places.private })).await
+        self.drive(Call::new(RetryPolicy::AtMostOnce { fences, exclusive: places.private })).await
     }
 
     /// Feeds the call until it finishes.
     async fn drive(&mut self, mut call: Call) -> (Outcome, Option<Evidence>) {
-        let mut action = call.begin();
+        let mut action = call.start();
         loop {
             action = match action {
                 Action::Route => {
                     let fence = self.route();
                     call.routed(fence)
                 }
-                Action::Open { fence, from, wait } => {
+                Action::Connect { fence, from, wait } => {
                     self.open(&mut call, &fence, from, wait).await
                 }
-                Action::Read => self.read(&mut call).await,
-                Action::DeliverHead => {
+                Action::AwaitEvent => self.read(&mut call).await,
+                Action::ForwardHead => {
                     self.deliver_head(&mut call);
                     self.read(&mut call).await
                 }
-                Action::Deliver => self.deliver(&mut call).await,
+                Action::ForwardChunk => self.deliver(&mut call).await,
                 Action::Finish { outcome, evidence, cancel } => {
                     if outcome == Outcome::Unknown {
                         // Charged for what came of it, its prompt at least.
@@ -214,9 +214,9 @@
         let opened = attempt::open(&self.shared, &fence.server).await;
         let Ok(mut link) = opened else {
             self.signal(&fence.server, Signal::Failed);
-            return self.feed(call, Event::OpenFailed);
+            return self.feed(call, Event::ConnectFailed);
         };
-        let opened = self.feed(call, Event::Opened);
+        let opened = self.feed(call, Event::Connected);
         let service = &self.order.service_name;
         lock(&self.shared.view).sent(service, &fence.server, self.order.cost, now);
         if link.start(self.start(fence, from), &self.order.body).await.is_err() {
@@ -255,7 +255,7 @@
             let before = self.body.len();
             self.body.extend_from_slice(&came.bytes);
             let action = self.feed(call, came.event);
-            if action != Action::Deliver {
+            if action != Action::ForwardChunk {
                 self.body.truncate(before);
             }
             return action;
@@ -289,7 +289,7 @@
         if !streamed || self.stream.is_some() {
             return;
         }
-        call.commit();
+        call.mark_committed();
         let (sender, units) = mpsc::channel(STREAM_ROOM);
         self.stream = Some(sender);
         self.reply(Reply::Stream { status, content, units });
@@ -298,20 +298,20 @@
     async fn deliver(&mut self, call: &mut Call) -> Action {
         let Some(stream) = &self.stream else {
             if self.body.len() > ANSWER_MAX {
-                return self.feed(call, Event::CallerGone);
+                return self.feed(call, Event::CallerDisconnected);
             }
             return self.read(call).await;
         };
         let unit = Bytes::from(std::mem::take(&mut self.body));
         match self.shared.context.clock.timeout_at(self.deadline, stream.send(unit)).await {
             Ok(Ok(())) => self.read(call).await,
-            Ok(Err(_)) => self.feed(call, Event::CallerGone),
+            Ok(Err(_)) => self.feed(call, Event::CallerDisconnected),
             Err(_) => self.feed(call, Event::Deadline),
         }
     }
 
     fn feed(&self, call: &mut Call, event: Event) -> Action {
-        call.on(event, &mut lock(&self.shared.budget))
+        call.handle(event, &mut lock(&self.shared.budget))
     }
 
     /// The last attempt is over.
--- a/src/mastweir/entry/problem.rs
+++ b/src/mastweir/entry/problem.rs
@@ -64,12 +64,15 @@
     /// The kind for a call that ended with this.
     pub const fn of(outcome: Outcome, evidence: Option<Evidence>) -> Self {
         match evidence {
-            Some(Evidence::Refused(Refusal::Overloaded | Refusal::LedgerFull)) => Self::Overloaded,
+            Some(Evidence::Refused(Refusal::Overloaded | Refusal::TableFull)) => Self::Overloaded,
             Some(Evidence::Refused(Refusal::Deadline)) => Self::Deadline,
-            Some(Evidence::Refused(Refusal::AnswerGone)) => Self::AnswerGone,
+            Some(Evidence::Refused(Refusal::AnswerEvicted)) => Self::AnswerGone,
             Some(Evidence::Refused(Refusal::Expired)) => Self::BadTicket,
             Some(Evidence::Refused(
-                Refusal::Leaving | Refusal::EngineAway | Refusal::NotServed | Refusal::Withdrawn,
+                Refusal::Leaving
+                | Refusal::EngineUnreachable
+                | Refusal::NotServed
+                | Refusal::Withdrawn,
             )) => Self::NoServer,
             Some(Evidence::NotSent) => Self::NoServer,
             Some(_) => Self::Lost,
--- a/tests/testsuite/fuzz_outcomes.rs
+++ b/tests/testsuite/fuzz_outcomes.rs
@@ -4,7 +4,9 @@
 
 use mastweir_core::{
     id::{Fence, Incarnation, OpId},
-    outcome::{Action, Call, Event, Ledger, Limits, Order, Outcome, Plan, Refusal, Verdict},
+    outcome::{
+        Action, Call, DedupLimits, DedupTable, Event, Order, Outcome, Refusal, RetryPolicy, Verdict,
+    },
     route::RetryBudget,
     time::Uptime,
 };
@@ -73,7 +75,7 @@
 #[derive(Debug)]
 struct Agent {
     incarnation: Incarnation,
-    ledger: Ledger<usize>,
+    ledger: DedupTable<usize>,
     waiting: Vec<usize>,
     running: Vec<usize>,
     /// Connections that wait for an answer: call, attempt and operation.
@@ -126,7 +128,7 @@
 fn agent(births: &mut u64) -> Agent {
     *births += 1;
     let incarnation = Incarnation(*births);
-    let ledger = Ledger::new(incarnation, Limits::default());
+    let ledger = DedupTable::new(incarnation, DedupLimits::default());
     Agent { incarnation, ledger, waiting: Vec::new(), running: Vec::new(), listening: Vec::new() }
 }
 
@@ -141,9 +143,9 @@
             .tickets
             .entry(operation)
             .or_insert_with(|| (agents.iter().enumerate().map(fence).collect(), self.now + TERM));
-        let plan = Plan::Once { fences: ticket.0.clone(), private: false };
+        let plan = RetryPolicy::AtMostOnce { fences: ticket.0.clone(), exclusive: false };
         let mut call = Call::new(plan);
-        let action = call.begin();
+        let action = call.start();
         self.calls.push(Running { operation, call, at: At::Over, told: None });
         self.act(self.calls.len() - 1, action);
     }
@@ -151,34 +153,34 @@
     /// Carries out what a call asks for.
     fn act(&mut self, i: usize, action: Action) {
         match action {
-            Action::Open { fence, .. } => self.calls[i].at = At::Opening(fence),
+            Action::Connect { fence, .. } => self.calls[i].at = At::Opening(fence),
             Action::Finish { outcome, .. } => {
                 self.calls[i].told = Some(outcome);
                 self.calls[i].at = At::Over;
             }
-            Action::Read | Action::DeliverHead | Action::Deliver => (),
+            Action::AwaitEvent | Action::ForwardHead | Action::ForwardChunk => (),
             Action::Route => unreachable!("only calls that may be repeated are routed"),
         }
     }
 
     fn feed(&mut self, i: usize, event: Event) {
-        let action = self.calls[i].call.on(event, &mut self.budget);
+        let action = self.calls[i].call.handle(event, &mut self.budget);
         self.act(i, action);
     }
 
     fn open(&mut self, i: usize, ok: bool) {
         let At::Opening(fence) = self.calls[i].at.clone() else { return };
         if !ok {
-            return self.feed(i, Event::OpenFailed);
+            return self.feed(i, Event::ConnectFailed);
         }
         let operation = self.calls[i].operation;
         let place = fence.server.parse().unwrap_or(0);
         let expires = self.tickets[&operation].1;
         let order = Order { op: op(operation), incarnation: fence.incarnation, expires };
-        let attempt = self.calls[i].call.tries();
+        let attempt = self.calls[i].call.attempts();
         self.calls[i].at = At::Sent;
         self.flying.push(Flying { call: i, attempt, operation, agent: place, order });
-        self.feed(i, Event::Opened);
+        self.feed(i, Event::Connected);
     }
 
     fn deliver(&mut self, i: usize) {
@@ -212,7 +214,8 @@
         let (these, others) = all.into_iter().partition(|(_, _, of)| *of == operation);
         self.agents[agent].listening = others;
         for (call, attempt, _) in these {
-            let open = self.calls[call].at == At::Sent && self.calls[call].call.tries() == attempt;
+            let open =
+                self.calls[call].at == At::Sent && self.calls[call].call.attempts() == attempt;
             match refusal {
                 _ if !open => (),
                 Some(why) => self.feed(call, Event::Refused(why)),
@@ -243,7 +246,7 @@
     fn evict(&mut self, agent: usize) {
         for operation in std::mem::take(&mut self.agents[agent].waiting) {
             let why = Refusal::Overloaded;
-            self.agents[agent].ledger.withdraw(op(operation), why);
+            self.agents[agent].ledger.cancel(op(operation), why);
             self.tell(agent, operation, Some(why));
         }
     }
