--- a/crates/mastweir-bench/src/commands/control.rs
+++ b/crates/mastweir-bench/src/commands/control.rs
@@ -12,7 +12,7 @@
 };
 use mastweir_core::{
     id::{Fence, Incarnation},
-    share::{CustomerTag, Tree, Usage, UsageRow},
+    share::{CustomerTag, Usage, UsageRow, UsageTree},
     table::{Digest, RowKind},
     time::Uptime,
     wire::{Load, Packet},
@@ -141,7 +141,7 @@
     let names: Vec<String> = (1..size.entries).map(|i| format!("entry-{i:03}")).collect();
     let mut places: Vec<(&str, &str)> = names.iter().map(|name| ("north", name.as_str())).collect();
     places.push(("north", "a-entry"));
-    let tree = Tree::of("a-entry", &places);
+    let tree = UsageTree::of("a-entry", &places);
     let to = fleet.entries[0].daemon.listening.udp;
     for name in &names {
         let socket = listed(&fleet, name, InstanceRole::Entry).await?;
@@ -304,7 +304,7 @@
             let usage = Usage {
                 total: false,
                 period_ms: 0,
-                asked: 50_000,
+                offered: 50_000,
                 delivered: 40_000,
                 rows: rows.collect(),
             };
--- a/crates/mastweir-bench/src/sim/shares/exchange.rs
+++ b/crates/mastweir-bench/src/sim/shares/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::{ENVELOPE, Event, HEADERS, Sim};
 use mastweir_core::{
-    share::{CustomerTag, Fleet, Offered, Tree, Usage},
+    share::{CustomerTag, FleetUsage, OfferedLoad, Usage, UsageTree},
     wire::{Packet, encoded_len},
 };
 use std::collections::BTreeMap;
@@ -24,7 +24,8 @@
             let parts: Vec<&Usage> = (0..self.case.halls).filter(heard).map(|i| &sums[i]).collect();
             let rows = self.total(&parts);
             let sum = |of: fn(&Usage) -> u64| parts.iter().map(|usage| of(usage) as f64).sum();
-            let fleet = Fleet { asked: sum(|usage| usage.asked), delivered: sum(|u| u.delivered) };
+            let fleet =
+                FleetUsage { offered: sum(|usage| usage.offered), delivered: sum(|u| u.delivered) };
             let now = self.events.now;
             self.gates[hall].update(now, &rows, self.case.period, fleet);
         }
@@ -32,17 +33,17 @@
 
     fn hall_sum(&mut self, hall: usize) -> Usage {
         let weight = |tag| self.case.customers[self.by_tag[&tag]].weight;
-        self.pending[hall].take(false, weight)
+        self.pending[hall].next_packet(false, weight)
     }
 
-    fn total(&self, parts: &[&Usage]) -> Vec<Offered> {
+    fn total(&self, parts: &[&Usage]) -> Vec<OfferedLoad> {
         let mut sum: BTreeMap<CustomerTag, f64> = BTreeMap::new();
         for row in parts.iter().flat_map(|usage| &usage.rows) {
             *sum.entry(row.customer).or_default() += f64::from(row.units);
         }
         let offered = |(customer, units)| {
             let weight = self.case.customers[self.by_tag[&customer]].weight;
-            Offered { customer, units, weight }
+            OfferedLoad { customer, units, weight }
         };
         sum.into_iter().map(offered).collect()
     }
@@ -55,8 +56,8 @@
         };
         let hall_len = halls.first().map_or(0, len);
         let in_hall = self.case.entries.div_ceil(self.case.halls);
-        let groups = in_hall.div_ceil(Tree::GROUP);
-        let children = (in_hall - 1).min(Tree::GROUP - 1) + groups - 1;
+        let groups = in_hall.div_ceil(UsageTree::GROUP_MAX);
+        let children = (in_hall - 1).min(UsageTree::GROUP_MAX - 1) + groups - 1;
         // Up from the children, down to them, and both ways between halls.
         let links = 2 * children + 2 * (self.case.halls - 1);
         self.bytes += (links * hall_len) as f64;
--- a/crates/mastweir-bench/src/sim/shares/mod.rs
+++ b/crates/mastweir-bench/src/sim/shares/mod.rs
@@ -8,7 +8,10 @@
 
 use super::events::Events;
 use mastweir_core::{
-    share::{CustomerTag, Entry, Estimator, FairQueue, Gate, Offer, Pending, Usage},
+    share::{
+        AdmissionControl, CostEstimator, CustomerTag, EnqueueResult, FairQueue, PendingUsage,
+        QueuedRequest, Usage,
+    },
     time::Uptime,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -66,9 +69,9 @@
     entry_queues: Vec<(FairQueue<u32, Request>, usize)>,
     /// For [`Policy::Quota`]: a customer's queue and free slots.
     quota_queues: Vec<(VecDeque<Request>, usize)>,
-    gates: Vec<Gate>,
-    pending: Vec<Pending>,
-    estimators: Vec<Estimator<usize>>,
+    gates: Vec<AdmissionControl>,
+    pending: Vec<PendingUsage>,
+    estimators: Vec<CostEstimator<usize>>,
     tags: Vec<CustomerTag>,
     by_tag: HashMap<CustomerTag, usize>,
     sums: VecDeque<Vec<Usage>>,
@@ -92,7 +95,7 @@
         let room = (ROOM * case.slots as f64 * SLOT_SPEED) as u64;
         let queue = || {
             let mut queue = FairQueue::new(case.queue);
-            queue.set_room(room);
+            queue.set_backlog_limit(room);
             queue
         };
         let server = |i| Server { queue: queue(), running: 0, seen: 0, hall: i % case.halls };
@@ -111,9 +114,9 @@
                 .map(|i| (FairQueue::new(case.queue * case.servers / case.entries), part(i)))
                 .collect(),
             quota_queues: case.customers.iter().map(quota).collect(),
-            gates: vec![Gate::default(); case.halls],
-            pending: vec![Pending::default(); case.halls],
-            estimators: vec![Estimator::default(); case.halls],
+            gates: vec![AdmissionControl::default(); case.halls],
+            pending: vec![PendingUsage::default(); case.halls],
+            estimators: vec![CostEstimator::default(); case.halls],
             by_tag: tags.iter().enumerate().map(|(i, tag)| (*tag, i)).collect(),
             tags,
             sums: VecDeque::new(),
@@ -171,10 +174,10 @@
         let entry = spec.entry.unwrap_or_else(|| self.rng.random_range(0..self.case.entries));
         let entry = self.live_entry(entry);
         let hall = entry % self.case.halls;
-        let guess = self.estimators[hall].expect(&customer, ESTIMATE);
+        let guess = self.estimators[hall].estimate(&customer, ESTIMATE);
         if self.policy == Policy::Current {
             let tag = self.tags[customer];
-            self.pending[hall].ask(tag, u64::from(guess));
+            self.pending[hall].add_offered(tag, u64::from(guess));
             let start = self.rng.random_range(0.0..1.0);
             if !self.gates[hall].admit(tag, spec.weight, f64::from(guess), start) {
                 return;
@@ -201,9 +204,9 @@
             }
             Policy::Local => {
                 let entry = wait(request, request.customer as u32);
-                match self.entry_queues[request.entry].0.offer(entry) {
-                    Offer::Taken => self.waits += 1,
-                    Offer::Evicted(_) | Offer::Full(_) => (),
+                match self.entry_queues[request.entry].0.enqueue(entry) {
+                    EnqueueResult::Queued => self.waits += 1,
+                    EnqueueResult::Evicted(_) | EnqueueResult::Full(_) => (),
                 }
                 self.start_from_entry(request.entry);
             }
@@ -249,9 +252,9 @@
 
     fn enqueue(&mut self, server: usize, request: Request) {
         let key = if self.policy == Policy::Fifo { 0 } else { request.customer as u32 };
-        match self.servers[server].queue.offer(wait(request, key)) {
-            Offer::Taken => self.waits += 1,
-            Offer::Evicted(_) | Offer::Full(_) => (),
+        match self.servers[server].queue.enqueue(wait(request, key)) {
+            EnqueueResult::Queued => self.waits += 1,
+            EnqueueResult::Evicted(_) | EnqueueResult::Full(_) => (),
         }
     }
 
@@ -302,8 +305,8 @@
         let units = f64::from(request.cost);
         self.count_served(request);
         let hall = request.entry % self.case.halls;
-        self.pending[hall].deliver(units as u64);
-        self.estimators[hall].learn(request.customer, ESTIMATE, request.cost);
+        self.pending[hall].add_delivered(units as u64);
+        self.estimators[hall].record(request.customer, ESTIMATE, request.cost);
         match self.policy {
             Policy::Local => {
                 self.entry_queues[request.entry].1 += 1;
@@ -374,8 +377,8 @@
     }
 }
 
-fn wait(request: Request, key: u32) -> Entry<u32, Request> {
-    Entry {
+fn wait(request: Request, key: u32) -> QueuedRequest<u32, Request> {
+    QueuedRequest {
         customer: key,
         weight: request.weight,
         class: 0,
--- a/crates/mastweir-core/src/share/gate.rs
+++ b/crates/mastweir-core/src/share/admission.rs
@@ -13,7 +13,7 @@
 //! the exchange, some seconds old, and is fed forward, so its age makes no loop
 //! swing. The level is the weighted max-min level of what is offered against
 //! what the fleet delivers, moved by how long requests wait at the servers just
-//! now: more is let in while they wait less than [`TARGET_WAIT`], less while they
+//! now: more is let in while they wait less than [`TARGET_WAIT_S`], less while they
 //! wait longer. Below a part of it nothing is refused: idle capacity is lent.
 //!
 //! A first version corrected weights by the measured error instead. It swung,
@@ -23,32 +23,32 @@
 use std::collections::HashMap;
 
 /// Seconds that requests wait at the servers when the level is right.
-pub const TARGET_WAIT: f64 = 1.0;
+pub const TARGET_WAIT_S: f64 = 1.0;
 /// Part of it below which the gate opens further and further.
-const FREE_PART: f64 = 0.25;
+const IDLE_WAIT_RATIO: f64 = 0.25;
 /// How far the level follows the wait.
-const FOLLOW: f64 = 0.5;
-const FOLLOW_MAX: f64 = 1.5;
-const FOLLOW_MIN: f64 = 0.2;
+const FACTOR_GAIN: f64 = 0.5;
+const FACTOR_MAX: f64 = 1.5;
+const FACTOR_MIN: f64 = 0.2;
 /// What is let in at least where servers' queues can tell customers apart.
-const FOLLOW_DENSE: f64 = 8.0;
+const FACTOR_MIN_LONG_QUEUES: f64 = 8.0;
 /// How much further it opens with each look at servers that have room.
-const OPEN_STEP: f64 = 1.3;
+const FACTOR_STEP: f64 = 1.3;
 /// From here on it is open: what was delivered says nothing about an idle fleet.
-const OPEN: f64 = 20.0;
+const FACTOR_UNLIMITED: f64 = 20.0;
 /// Weight of the newest reading in smoothed rates.
-const SMOOTH: f64 = 0.5;
-const SMOOTH_FLEET: f64 = 0.3;
+const RATE_SMOOTHING: f64 = 0.5;
+const FLEET_SMOOTHING: f64 = 0.3;
 /// Seconds without a row after which a customer asks for nothing.
-const FORGET: f64 = 60.0;
+const FLOW_EXPIRY_S: f64 = 60.0;
 /// Requests that a customer's count here may be ahead.
-const CREDIT_MAX: f64 = 2.0;
+const CREDIT_MAX_REQUESTS: f64 = 2.0;
 /// Least weight, so that a weight of zero is served when all is idle only.
 const WEIGHT_MIN: f64 = 1e-6;
 
 /// What one customer asked for, fleet-wide.
 #[derive(Clone, Copy, Debug)]
-pub struct Offered {
+pub struct OfferedLoad {
     /// The customer.
     pub customer: CustomerTag,
     /// Units since its last row.
@@ -59,9 +59,9 @@
 
 /// Units of all customers in a period.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
+pub struct FleetUsage {
     /// What they asked for.
-    pub asked: f64,
+    pub offered: f64,
     /// What they were delivered.
     pub delivered: f64,
 }
@@ -77,34 +77,34 @@
 
 /// Who is let in. All entries of a fleet arrive at about the same.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct AdmissionControl {
     flows: HashMap<CustomerTag, Flow>,
     /// Units a second that the fleet delivers.
     delivered: f64,
     /// Units a second that all customers ask for, those without a row too.
-    asked: f64,
+    offered: f64,
     /// Units a second per weight; `None` while nothing has to be refused.
-    level: Option<f64>,
+    fill_level: Option<f64>,
     /// What the wait makes of it.
-    follow: f64,
+    wait_factor: f64,
     /// Units that a customer may still be let in for here.
     credits: HashMap<CustomerTag, f64>,
 }
 
-impl Default for Gate {
+impl Default for AdmissionControl {
     fn default() -> Self {
         Self {
             flows: HashMap::new(),
             delivered: 0.0,
-            asked: 0.0,
-            level: None,
-            follow: OPEN,
+            offered: 0.0,
+            fill_level: None,
+            wait_factor: FACTOR_UNLIMITED,
             credits: HashMap::new(),
         }
     }
 }
 
-impl Gate {
+impl AdmissionControl {
     /// Decides on a request of so many units. `start` in 0..1 is where a
     /// customer's count begins here, drawn at random so that a fleet's entries
     /// do not all let the first request in.
@@ -112,29 +112,29 @@
     /// Counting instead of drawing each time keeps chance out of the shares: by
     /// draws, 200 requests came out 7% off.
     pub fn admit(&mut self, customer: CustomerTag, weight: f64, units: f64, start: f64) -> bool {
-        let chance = self.chance(customer, weight);
-        if chance >= 1.0 {
+        let ratio = self.admit_ratio(customer, weight);
+        if ratio >= 1.0 {
             return true;
         }
         let credit = self.credits.entry(customer).or_insert(start * units);
-        *credit += chance * units;
+        *credit += ratio * units;
         let fits = *credit >= units;
         if fits {
             *credit -= units;
         }
         // What a larger request may save up for.
-        *credit = credit.min(CREDIT_MAX * units);
+        *credit = credit.min(CREDIT_MAX_REQUESTS * units);
         fits
     }
 
     /// The part of a customer's requests that is let in.
-    pub fn chance(&self, customer: CustomerTag, weight: f64) -> f64 {
-        let Some(level) = self.level else { return 1.0 };
-        if self.follow >= OPEN {
+    pub fn admit_ratio(&self, customer: CustomerTag, weight: f64) -> f64 {
+        let Some(level) = self.fill_level else { return 1.0 };
+        if self.wait_factor >= FACTOR_UNLIMITED {
             return 1.0;
         }
         let Some(flow) = self.flows.get(&customer) else { return 1.0 };
-        let fair = level * self.follow * weight.max(WEIGHT_MIN);
+        let fair = level * self.wait_factor * weight.max(WEIGHT_MIN);
         (fair / flow.rate.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
@@ -144,22 +144,24 @@
     }
 
     /// Units a second per weight, while something has to be refused.
-    pub fn level(&self) -> Option<f64> {
-        self.level.filter(|_| self.follow < OPEN).map(|level| level * self.follow)
+    pub fn fill_level(&self) -> Option<f64> {
+        self.fill_level
+            .filter(|_| self.wait_factor < FACTOR_UNLIMITED)
+            .map(|level| level * self.wait_factor)
     }
 
     /// Takes the sums of a period in: what was asked for since each customer's
     /// last row, and what all asked for and were delivered in the period.
-    pub fn update(&mut self, now: f64, rows: &[Offered], period: f64, fleet: Fleet) {
+    pub fn update(&mut self, now: f64, rows: &[OfferedLoad], period: f64, fleet: FleetUsage) {
         for row in rows {
-            self.hear(row, now, period);
+            self.update_flow(row, now, period);
         }
-        self.flows.retain(|_, flow| now - flow.at < FORGET);
+        self.flows.retain(|_, flow| now - flow.at < FLOW_EXPIRY_S);
         let first = self.delivered <= 0.0;
-        let part = if first { 1.0 } else { SMOOTH_FLEET };
+        let part = if first { 1.0 } else { FLEET_SMOOTHING };
         self.delivered += part * (fleet.delivered / period - self.delivered);
-        self.asked += part * (fleet.asked / period - self.asked);
-        self.level = self.max_min_level();
+        self.offered += part * (fleet.offered / period - self.offered);
+        self.fill_level = self.max_min_level();
     }
 
     /// How long requests wait at the servers just now, in seconds, and how many
@@ -169,20 +171,20 @@
     /// gate, and it only keeps the bulk of an overload away from them.
     pub fn observe(&mut self, wait: f64, room: f64) {
         let each = (room / self.flows.len().max(1) as f64).min(1.0);
-        let least = FOLLOW_MIN + (FOLLOW_DENSE - FOLLOW_MIN) * each;
-        let error = (TARGET_WAIT - wait) / TARGET_WAIT;
-        let follow = (1.0 + FOLLOW * error).clamp(least, FOLLOW_MAX.max(least));
-        let free = wait < FREE_PART * TARGET_WAIT;
+        let least = FACTOR_MIN + (FACTOR_MIN_LONG_QUEUES - FACTOR_MIN) * each;
+        let error = (TARGET_WAIT_S - wait) / TARGET_WAIT_S;
+        let factor = (1.0 + FACTOR_GAIN * error).clamp(least, FACTOR_MAX.max(least));
+        let is_idle = wait < IDLE_WAIT_RATIO * TARGET_WAIT_S;
         // Opened step by step: thrown open, it would fill every queue at once.
-        let opened = (self.follow * OPEN_STEP).clamp(follow, OPEN);
-        self.follow = if free { opened } else { follow };
+        let opened = (self.wait_factor * FACTOR_STEP).clamp(factor, FACTOR_UNLIMITED);
+        self.wait_factor = if is_idle { opened } else { factor };
     }
 
-    fn hear(&mut self, row: &Offered, now: f64, period: f64) {
-        let born = Flow { weight: row.weight, rate: row.units / period, at: now - period };
-        let flow = self.flows.entry(row.customer).or_insert(born);
+    fn update_flow(&mut self, row: &OfferedLoad, now: f64, period: f64) {
+        let new = Flow { weight: row.weight, rate: row.units / period, at: now - period };
+        let flow = self.flows.entry(row.customer).or_insert(new);
         let passed = (now - flow.at).max(period);
-        flow.rate += SMOOTH * (row.units / passed - flow.rate);
+        flow.rate += RATE_SMOOTHING * (row.units / passed - flow.rate);
         flow.weight = row.weight;
         flow.at = now;
     }
@@ -194,7 +196,7 @@
         flows.sort_by(|a, b| key(a).total_cmp(&key(b)));
         // Customers without a row yet ask for little each, and get it.
         let known: f64 = flows.iter().map(|flow| flow.rate).sum();
-        let mut left = self.delivered - (self.asked - known).max(0.0);
+        let mut left = self.delivered - (self.offered - known).max(0.0);
         let mut weights: f64 = flows.iter().map(|flow| flow.weight.max(WEIGHT_MIN)).sum();
         for flow in flows {
             let level = left / weights;
--- a/crates/mastweir-core/src/share/estimate.rs
+++ b/crates/mastweir-core/src/share/estimate.rs
@@ -13,30 +13,30 @@
 
 /// Learned ratios of true cost to what was named, by customer.
 #[derive(Clone, Debug)]
-pub struct Estimator<C> {
+pub struct CostEstimator<C> {
     ratios: HashMap<C, f64>,
 }
 
-impl<C> Default for Estimator<C> {
+impl<C> Default for CostEstimator<C> {
     fn default() -> Self {
         Self { ratios: HashMap::new() }
     }
 }
 
-impl<C: Eq + Hash> Estimator<C> {
+impl<C: Eq + Hash> CostEstimator<C> {
     /// The cost to expect, in units.
-    pub fn expect<Q>(&self, customer: &Q, named: u32) -> u32
+    pub fn estimate<Q>(&self, customer: &Q, requested: u32) -> u32
     where
         C: Borrow<Q>,
         Q: Eq + Hash + ?Sized,
     {
         let ratio = self.ratios.get(customer).copied().unwrap_or(1.0);
-        (f64::from(named) * ratio).clamp(1.0, f64::from(u32::MAX)) as u32
+        (f64::from(requested) * ratio).clamp(1.0, f64::from(u32::MAX)) as u32
     }
 
     /// A request for which `named` units were named has cost `actual`.
-    pub fn learn(&mut self, customer: C, named: u32, actual: u32) {
-        let reading = f64::from(actual) / f64::from(named.max(1));
+    pub fn record(&mut self, customer: C, requested: u32, actual: u32) {
+        let reading = f64::from(actual) / f64::from(requested.max(1));
         let reading = reading.clamp(RATIO_MIN, RATIO_MAX);
         let ratio = self.ratios.entry(customer).or_insert(reading);
         *ratio += SMOOTH * (reading - *ratio);
--- a/crates/mastweir-core/src/share/limit.rs
+++ b/crates/mastweir-core/src/share/limit.rs
@@ -3,28 +3,28 @@
 //! A limit is split over the entries. Each entry gets its part by what it was
 //! seen to use, and a small floor so that load may arrive anywhere. While the
 //! parts move, the sum may exceed the limit by at most the floors, that is by
-//! [`Allowance::FLOOR`] of it, for one exchange period. An entry that hears of
+//! [`LimitShare::FLOOR_MILLI`] of it, for one exchange period. An entry that hears of
 //! no one goes on with its last part.
 
 use crate::time::Uptime;
 
 /// A token bucket that may run into debt, since costs are known afterwards.
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Uptime,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket with `rate` units a second and `burst` units of room.
     pub const fn new(rate: f64, burst: f64, at: Uptime) -> Self {
         Self { rate, burst, level: burst, at }
     }
 
     /// Changes rate and room; what is in it stays, up to the new room.
-    pub fn reshape(&mut self, rate: f64, burst: f64, now: Uptime) {
+    pub fn set_rate(&mut self, rate: f64, burst: f64, now: Uptime) {
         self.refill(now);
         self.rate = rate;
         self.burst = burst;
@@ -60,23 +60,23 @@
 
 /// One entry's part of a customer's limit, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
+pub struct LimitShare {
     /// The part.
     pub milli: u32,
 }
 
-impl Allowance {
+impl LimitShare {
     /// Sum of all entries' floors, as a part of the limit, in thousandths.
-    pub const FLOOR: u32 = 100;
+    pub const FLOOR_MILLI: u32 = 100;
 
     /// The part of an entry that used `own` of `total`, over `entries` entries.
-    pub fn of(own: u64, total: u64, entries: u32) -> Self {
+    pub fn from_usage(own: u64, total: u64, entries: u32) -> Self {
         let entries = entries.max(1);
-        let floor = Self::FLOOR / entries;
+        let floor = Self::FLOOR_MILLI / entries;
         if total == 0 {
             return Self { milli: 1_000 / entries };
         }
-        let rest = u64::from(1_000 - Self::FLOOR);
+        let rest = u64::from(1_000 - Self::FLOOR_MILLI);
         let part = (rest * own.min(total) / total) as u32;
         Self { milli: floor.max(1) + part }
     }
--- a/crates/mastweir-core/src/share/mod.rs
+++ b/crates/mastweir-core/src/share/mod.rs
@@ -7,22 +7,22 @@
 //!   not matter through which entry instance a customer's load arrives, and
 //!   idle capacity is lent at once;
 //! - a local queue is fair among those present at that server only, so entries
-//!   add up what customers ask for fleet-wide ([`Usage`], along a [`Tree`] of
-//!   entries) and refuse early what is over a customer's share ([`Gate`]);
+//!   add up what customers ask for fleet-wide ([`Usage`], along a [`UsageTree`] of
+//!   entries) and refuse early what is over a customer's share ([`AdmissionControl`]);
 //! - limits in flight and by rate are split over the entries that a customer
-//!   uses ([`Allowance`]).
+//!   uses ([`LimitShare`]).
 
+mod admission;
 mod estimate;
-mod gate;
 mod limit;
 mod queue;
 mod tree;
 
-pub use estimate::Estimator;
-pub use gate::{Fleet, Gate, Offered, TARGET_WAIT};
-pub use limit::{Allowance, Bucket};
-pub use queue::{Entry, FairQueue, Offer, WAIT_MAX_S};
-pub use tree::{Role, Tree};
+pub use admission::{AdmissionControl, FleetUsage, OfferedLoad, TARGET_WAIT_S};
+pub use estimate::CostEstimator;
+pub use limit::{LimitShare, TokenBucket};
+pub use queue::{EnqueueResult, FairQueue, QueuedRequest, WAIT_MAX_S};
+pub use tree::{TreeRole, UsageTree};
 
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, mem};
@@ -85,7 +85,7 @@
     /// Time until the next exchange, as the hall's leader decides.
     pub period_ms: u32,
     /// Service units that all customers asked for in the period.
-    pub asked: u64,
+    pub offered: u64,
     /// Service units that were delivered to them.
     pub delivered: u64,
     /// The rows, at most [`Usage::ROWS_MAX`].
@@ -102,36 +102,36 @@
 /// A packet has room for some rows. Those that do not fit wait for the next
 /// one, so that late rows are late and not lost.
 #[derive(Clone, Debug, Default)]
-pub struct Pending {
+pub struct PendingUsage {
     rows: BTreeMap<CustomerTag, u64>,
-    asked: u64,
+    offered: u64,
     delivered: u64,
 }
 
-impl Pending {
+impl PendingUsage {
     /// Adds units that a customer asked for.
-    pub fn ask(&mut self, customer: CustomerTag, units: u64) {
+    pub fn add_offered(&mut self, customer: CustomerTag, units: u64) {
         *self.rows.entry(customer).or_default() += units;
-        self.asked += units;
+        self.offered += units;
     }
 
     /// Adds units that were delivered.
-    pub fn deliver(&mut self, units: u64) {
+    pub fn add_delivered(&mut self, units: u64) {
         self.delivered += units;
     }
 
     /// Adds what is in a packet.
-    pub fn add(&mut self, usage: &Usage) {
+    pub fn merge(&mut self, usage: &Usage) {
         for row in &usage.rows {
             *self.rows.entry(row.customer).or_default() += u64::from(row.units);
         }
-        self.asked += usage.asked;
+        self.offered += usage.offered;
         self.delivered += usage.delivered;
     }
 
     /// Takes the next packet: the rows with the most units per weight, which are
     /// those that waited longest or ask for the most.
-    pub fn take(&mut self, total: bool, weight: impl Fn(CustomerTag) -> f64) -> Usage {
+    pub fn next_packet(&mut self, total: bool, weight: impl Fn(CustomerTag) -> f64) -> Usage {
         let per_weight = |(customer, units): (&CustomerTag, &u64)| {
             (*units as f64 / weight(*customer).max(f64::MIN_POSITIVE), *customer)
         };
@@ -143,7 +143,7 @@
             UsageRow { customer, units: u32::try_from(units).unwrap_or(u32::MAX) }
         };
         let rows = order.into_iter().map(row).collect();
-        let asked = mem::take(&mut self.asked);
-        Usage { total, period_ms: 0, asked, delivered: mem::take(&mut self.delivered), rows }
+        let offered = mem::take(&mut self.offered);
+        Usage { total, period_ms: 0, offered, delivered: mem::take(&mut self.delivered), rows }
     }
 }
--- a/crates/mastweir-core/src/share/queue.rs
+++ b/crates/mastweir-core/src/share/queue.rs
@@ -22,16 +22,16 @@
 };
 
 /// Virtual time, in units over weight, scaled to whole numbers.
-type Tag = u128;
-/// A weight of 1 stands as this in [`Entry::weight`].
+type VirtualTime = u128;
+/// A weight of 1 stands as this in [`QueuedRequest::weight`].
 const WEIGHT_ONE: u128 = 1_000;
-const TAG_SCALE: u128 = 1_000;
+const VIRTUAL_SCALE: u128 = 1_000;
 /// Seconds of work that wait at a server at most.
 pub const WAIT_MAX_S: f64 = 4.0;
 
 /// A request that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry<C, T> {
+pub struct QueuedRequest<C, T> {
     /// Whose it is.
     pub customer: C,
     /// Effective weight, in thousandths; at least 1.
@@ -48,9 +48,9 @@
 
 /// What became of an offered request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer<T> {
+pub enum EnqueueResult<T> {
     /// It waits.
-    Taken,
+    Queued,
     /// It waits, and this one was put out for it.
     Evicted(T),
     /// The queue is full, and no one in it is further over its share.
@@ -60,28 +60,28 @@
 #[derive(Clone, Debug)]
 struct Flow<C, T> {
     /// Virtual time up to which it was served.
-    start: Tag,
+    start: VirtualTime,
     /// Due tag of its next request, as it stands in the order.
-    due: Tag,
+    due: VirtualTime,
     /// Units that wait.
     units: u64,
     /// The newest effective weight: it holds for what waits already, too, or a
     /// correction would take effect only after a full queue's time.
     weight: u32,
     /// By class, then by arrival.
-    waiting: VecDeque<Entry<C, T>>,
+    waiting: VecDeque<QueuedRequest<C, T>>,
 }
 
 /// Requests that wait for one server.
 ///
 /// ```
 /// use mastweir_core::{
-///     share::{Entry, FairQueue},
+///     share::{QueuedRequest, FairQueue},
 ///     time::Uptime,
 /// };
 ///
 /// let mut queue = FairQueue::new(100);
-/// let entry = |customer, weight| Entry {
+/// let entry = |customer, weight| QueuedRequest {
 ///     customer,
 ///     weight,
 ///     class: 0,
@@ -90,8 +90,8 @@
 ///     item: customer,
 /// };
 /// for _ in 0..30 {
-///     queue.offer(entry("large", 3_000));
-///     queue.offer(entry("small", 1_000));
+///     queue.enqueue(entry("large", 3_000));
+///     queue.enqueue(entry("small", 1_000));
 /// }
 /// let served: Vec<_> = (0..20).filter_map(|_| queue.pop()).collect();
 /// let large = served.iter().filter(|entry| entry.customer == "large").count();
@@ -100,12 +100,12 @@
 #[derive(Clone, Debug)]
 pub struct FairQueue<C, T> {
     flows: HashMap<C, Flow<C, T>>,
-    order: BTreeSet<(Tag, C)>,
-    now: Tag,
+    order: BTreeSet<(VirtualTime, C)>,
+    now: VirtualTime,
     len: usize,
     backlog: u64,
-    limit: usize,
-    room: u64,
+    len_limit: usize,
+    backlog_limit: u64,
 }
 
 impl<C: Copy + Eq + Ord + Hash, T> FairQueue<C, T> {
@@ -117,15 +117,15 @@
             now: 0,
             len: 0,
             backlog: 0,
-            limit,
-            room: u64::MAX,
+            len_limit: limit,
+            backlog_limit: u64::MAX,
         }
     }
 
     /// Bounds the units that wait: a queue longer than what its requests can
     /// wait for is waste.
-    pub fn set_room(&mut self, units: u64) {
-        self.room = units;
+    pub fn set_backlog_limit(&mut self, units: u64) {
+        self.backlog_limit = units;
     }
 
     /// Requests that wait.
@@ -144,39 +144,41 @@
     }
 
     /// Requests of a customer that wait.
-    pub fn waiting_of(&self, customer: C) -> usize {
+    pub fn len_of(&self, customer: C) -> usize {
         self.flows.get(&customer).map_or(0, |flow| flow.waiting.len())
     }
 
     /// Adds a request. A full queue puts out the lowest class of whoever is
     /// furthest over its share, the newcomer itself if that is its customer.
-    pub fn offer(&mut self, entry: Entry<C, T>) -> Offer<T> {
-        if self.len < self.limit && self.backlog < self.room {
+    pub fn enqueue(&mut self, entry: QueuedRequest<C, T>) -> EnqueueResult<T> {
+        if self.len < self.len_limit && self.backlog < self.backlog_limit {
             self.push(entry);
-            return Offer::Taken;
+            return EnqueueResult::Queued;
         }
-        let Some(victim) = self.most_over_share(&entry) else { return Offer::Full(entry.item) };
+        let Some(victim) = self.most_over_served(&entry) else {
+            return EnqueueResult::Full(entry.item);
+        };
         match self.evict(victim) {
             Some(evicted) => {
                 self.push(entry);
-                Offer::Evicted(evicted.item)
+                EnqueueResult::Evicted(evicted.item)
             }
-            None => Offer::Full(entry.item),
+            None => EnqueueResult::Full(entry.item),
         }
     }
 
     /// Takes the request that is owed service most.
-    pub fn pop(&mut self) -> Option<Entry<C, T>> {
+    pub fn pop(&mut self) -> Option<QueuedRequest<C, T>> {
         let (due, customer) = self.order.pop_first()?;
         let flow = self.flows.get_mut(&customer)?;
         let entry = flow.waiting.pop_front()?;
         self.now = self.now.max(due);
-        flow.start += normal(u64::from(entry.cost), flow.weight);
+        flow.start += normalized(u64::from(entry.cost), flow.weight);
         flow.units -= u64::from(entry.cost);
         self.len -= 1;
         self.backlog -= u64::from(entry.cost);
         self.reorder(customer);
-        self.forget_idle();
+        self.remove_idle_flows();
         Some(entry)
     }
 
@@ -185,23 +187,26 @@
         let Some(flow) = self.flows.get_mut(&customer) else {
             return self.settle_absent(customer, weight, estimate, actual);
         };
-        let charged = flow.start + normal(u64::from(actual), weight);
-        flow.start = charged.saturating_sub(normal(u64::from(estimate), weight));
+        let charged = flow.start + normalized(u64::from(actual), weight);
+        flow.start = charged.saturating_sub(normalized(u64::from(estimate), weight));
         self.reorder(customer);
     }
 
     /// Takes out all requests that are void at `at`.
-    pub fn expire(&mut self, at: Uptime) -> Vec<Entry<C, T>> {
-        self.take_if(|entry| entry.deadline <= at)
+    pub fn expire(&mut self, at: Uptime) -> Vec<QueuedRequest<C, T>> {
+        self.remove_if(|entry| entry.deadline <= at)
     }
 
     /// Takes out all requests for which `gone` holds.
-    pub fn take_if(&mut self, gone: impl Fn(&Entry<C, T>) -> bool) -> Vec<Entry<C, T>> {
+    pub fn remove_if(
+        &mut self,
+        predicate: impl Fn(&QueuedRequest<C, T>) -> bool,
+    ) -> Vec<QueuedRequest<C, T>> {
         let mut taken = Vec::new();
         for flow in self.flows.values_mut() {
             let mut i = 0;
             while i < flow.waiting.len() {
-                if !gone(&flow.waiting[i]) {
+                if !predicate(&flow.waiting[i]) {
                     i += 1;
                     continue;
                 }
@@ -217,7 +222,7 @@
         taken
     }
 
-    fn push(&mut self, entry: Entry<C, T>) {
+    fn push(&mut self, entry: QueuedRequest<C, T>) {
         let customer = entry.customer;
         let now = self.now;
         let flow = self.flows.entry(customer).or_insert_with(|| Flow {
@@ -244,21 +249,22 @@
         let Some(flow) = self.flows.get_mut(&customer) else { return };
         self.order.remove(&(flow.due, customer));
         let Some(next) = flow.waiting.front() else { return };
-        flow.due = flow.start + normal(u64::from(next.cost), flow.weight);
+        flow.due = flow.start + normalized(u64::from(next.cost), flow.weight);
         self.order.insert((flow.due, customer));
     }
 
     /// Whose last request would begin last, if that is not the newcomer's. When
     /// it begins counts, not when it ends: a single long request is not over
     /// its customer's share.
-    fn most_over_share(&self, newcomer: &Entry<C, T>) -> Option<C> {
+    fn most_over_served(&self, newcomer: &QueuedRequest<C, T>) -> Option<C> {
         let last = |flow: &Flow<C, T>| {
             let own = flow.waiting.back().map_or(0, |entry| u64::from(entry.cost));
-            flow.start.max(self.now) + normal(flow.units - own, flow.weight)
+            flow.start.max(self.now) + normalized(flow.units - own, flow.weight)
         };
         let waiting = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
         let (worst, victim) = waiting.map(|(customer, flow)| (last(flow), *customer)).max()?;
-        let after = |flow: &Flow<C, T>| flow.start.max(self.now) + normal(flow.units, flow.weight);
+        let after =
+            |flow: &Flow<C, T>| flow.start.max(self.now) + normalized(flow.units, flow.weight);
         let own = self.flows.get(&newcomer.customer).map_or(self.now, after);
         if victim == newcomer.customer {
             // Within one customer a better class puts out a worse one.
@@ -269,7 +275,7 @@
         (own < worst).then_some(victim)
     }
 
-    fn evict(&mut self, victim: C) -> Option<Entry<C, T>> {
+    fn evict(&mut self, victim: C) -> Option<QueuedRequest<C, T>> {
         let flow = self.flows.get_mut(&victim)?;
         let entry = flow.waiting.pop_back()?;
         flow.units -= u64::from(entry.cost);
@@ -283,13 +289,13 @@
         if actual <= estimate {
             return;
         }
-        let start = self.now + normal(u64::from(actual - estimate), weight);
+        let start = self.now + normalized(u64::from(actual - estimate), weight);
         let flow = Flow { start, due: start, units: 0, weight, waiting: VecDeque::new() };
         self.flows.insert(customer, flow);
     }
 
     /// Flows without requests whose tag lies behind are as good as new.
-    fn forget_idle(&mut self) {
+    fn remove_idle_flows(&mut self) {
         if self.flows.len() <= 2 * self.order.len() + 16 {
             return;
         }
@@ -298,6 +304,6 @@
     }
 }
 
-fn normal(cost: u64, weight: u32) -> Tag {
-    u128::from(cost) * TAG_SCALE * WEIGHT_ONE / u128::from(weight.max(1))
+fn normalized(cost: u64, weight: u32) -> VirtualTime {
+    u128::from(cost) * VIRTUAL_SCALE * WEIGHT_ONE / u128::from(weight.max(1))
 }
--- a/crates/mastweir-core/src/share/tree.rs
+++ b/crates/mastweir-core/src/share/tree.rs
@@ -1,6 +1,6 @@
 //! Who adds up the usage of whom.
 //!
-//! Entries of a hall form groups of at most [`Tree::GROUP`]; a member sends its
+//! Entries of a hall form groups of at most [`UsageTree::GROUP_MAX`]; a member sends its
 //! rows to the leader of its group, leaders to the first leader of the hall, the
 //! halls' first leaders to each other, and the sums come back the same way. The
 //! roles follow from the sorted names of the live entries alone, so nothing is
@@ -9,7 +9,7 @@
 
 /// A place in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum TreeRole {
     /// Sends its own rows to a leader.
     Member,
     /// Adds up a group.
@@ -20,9 +20,9 @@
 
 /// The tree as one entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tree {
+pub struct UsageTree {
     /// Own role.
-    pub role: Role,
+    pub role: TreeRole,
     /// To whom the own sum goes; none for a hall leader.
     pub parent: Option<String>,
     /// To whom the total goes.
@@ -31,9 +31,9 @@
     pub peers: Vec<String>,
 }
 
-impl Tree {
+impl UsageTree {
     /// Entries of a group at most.
-    pub const GROUP: usize = 8;
+    pub const GROUP_MAX: usize = 8;
 
     /// The tree for entry `own`, from `(hall, entry)` of all live entries.
     pub fn of(own: &str, entries: &[(&str, &str)]) -> Self {
@@ -44,19 +44,19 @@
         let names: Vec<&str> = in_hall(&sorted, hall);
         let place = names.iter().position(|name| *name == own).unwrap_or(0);
         let top = names.first().copied().unwrap_or(own);
-        let lead = names.get(place - place % Self::GROUP).copied().unwrap_or(own);
+        let lead = names.get(place - place % Self::GROUP_MAX).copied().unwrap_or(own);
         let role = match () {
-            () if own == top => Role::HallLeader,
-            () if own == lead => Role::Leader,
-            () => Role::Member,
+            () if own == top => TreeRole::HallLeader,
+            () if own == lead => TreeRole::Leader,
+            () => TreeRole::Member,
         };
         let parent = match role {
-            Role::HallLeader => None,
-            Role::Leader => Some(top.to_owned()),
-            Role::Member => Some(lead.to_owned()),
+            TreeRole::HallLeader => None,
+            TreeRole::Leader => Some(top.to_owned()),
+            TreeRole::Member => Some(lead.to_owned()),
         };
         let children = children(&names, place, role);
-        let peers = if role == Role::HallLeader { tops(&sorted, hall) } else { Vec::new() };
+        let peers = if role == TreeRole::HallLeader { tops(&sorted, hall) } else { Vec::new() };
         Self { role, parent, children, peers }
     }
 }
@@ -65,13 +65,13 @@
     sorted.iter().filter(|(other, _)| *other == hall).map(|(_, name)| *name).collect()
 }
 
-fn children(names: &[&str], place: usize, role: Role) -> Vec<String> {
-    if role == Role::Member {
+fn children(names: &[&str], place: usize, role: TreeRole) -> Vec<String> {
+    if role == TreeRole::Member {
         return Vec::new();
     }
-    let group = names.iter().skip(place + 1).take(Tree::GROUP - 1);
-    let leaders = names.iter().step_by(Tree::GROUP).skip(1);
-    let leaders = leaders.take(if role == Role::HallLeader { names.len() } else { 0 });
+    let group = names.iter().skip(place + 1).take(UsageTree::GROUP_MAX - 1);
+    let leaders = names.iter().step_by(UsageTree::GROUP_MAX).skip(1);
+    let leaders = leaders.take(if role == TreeRole::HallLeader { names.len() } else { 0 });
     group.chain(leaders).map(|name| (*name).to_owned()).collect()
 }
 
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -12,7 +12,7 @@
 use mastweir_core::{
     id::OpId,
     outcome::{DedupLimits, DedupTable, Order, Refusal, Verdict},
-    share::{CustomerTag, Entry, FairQueue, Offer, WAIT_MAX_S},
+    share::{CustomerTag, EnqueueResult, FairQueue, QueuedRequest, WAIT_MAX_S},
     time::Uptime,
     wire::{Load, Start},
 };
@@ -161,7 +161,7 @@
             state.speed += SPEED_SMOOTH * (speed - state.speed);
             state.each += SPEED_SMOOTH * (f64::from(spent.units) / 2.0 - state.each);
             let rate = state.speed * f64::from(self.slots);
-            state.queue.set_room((rate * WAIT_MAX_S).max(f64::from(ROOM_MIN)) as u64);
+            state.queue.set_backlog_limit((rate * WAIT_MAX_S).max(f64::from(ROOM_MIN)) as u64);
         }
         finish(&mut state, job, end);
     }
@@ -170,9 +170,10 @@
     /// not be repeated goes on, so that a later connection finds its answer.
     pub fn abandon(&self, job: &Job, cancel: bool) {
         let mut state = self.lock();
-        let same =
-            |entry: &Entry<CustomerTag, Arc<Job>>| Arc::ptr_eq(&entry.item.answer, &job.answer);
-        let waited = !state.queue.take_if(same).is_empty();
+        let same = |entry: &QueuedRequest<CustomerTag, Arc<Job>>| {
+            Arc::ptr_eq(&entry.item.answer, &job.answer)
+        };
+        let waited = !state.queue.remove_if(same).is_empty();
         if waited {
             finish(&mut state, job, End::Refused(Refusal::Withdrawn));
         } else if cancel || job.start.repeatable {
@@ -184,7 +185,7 @@
     pub fn leave(&self) {
         let mut state = self.lock();
         state.leaving = true;
-        for entry in state.queue.take_if(|_| true) {
+        for entry in state.queue.remove_if(|_| true) {
             finish(&mut state, &entry.item, End::Refused(Refusal::Leaving));
         }
     }
@@ -194,7 +195,7 @@
     pub fn back_off(&self, wait: Duration) {
         let mut state = self.lock();
         state.backs_off = state.backs_off.max(self.context.clock.now() + wait);
-        for entry in state.queue.take_if(|_| true) {
+        for entry in state.queue.remove_if(|_| true) {
             finish(&mut state, &entry.item, End::Refused(Refusal::Overloaded));
         }
     }
@@ -258,7 +259,7 @@
         if job.deadline <= now {
             return Err(Refusal::Deadline);
         }
-        let entry = Entry {
+        let entry = QueuedRequest {
             customer: CustomerTag::of(&job.start.customer),
             weight: job.start.weight,
             class: job.start.class,
@@ -266,13 +267,13 @@
             deadline: job.deadline,
             item: job.clone(),
         };
-        match state.queue.offer(entry) {
-            Offer::Taken => Ok(()),
-            Offer::Evicted(other) => {
+        match state.queue.enqueue(entry) {
+            EnqueueResult::Queued => Ok(()),
+            EnqueueResult::Evicted(other) => {
                 finish(state, &other, End::Refused(Refusal::Overloaded));
                 Ok(())
             }
-            Offer::Full(_) => Err(Refusal::Overloaded),
+            EnqueueResult::Full(_) => Err(Refusal::Overloaded),
         }
     }
 
--- a/src/mastweir/entry/admit.rs
+++ b/src/mastweir/entry/admit.rs
@@ -2,7 +2,7 @@
 
 use super::{Shared, lock, problem::Kind};
 use mastweir_core::{
-    share::{Allowance, Bucket},
+    share::{LimitShare, TokenBucket},
     table::Customer,
     time::Uptime,
 };
@@ -17,7 +17,7 @@
 struct Held {
     inflight: u32,
     waiting: u32,
-    bucket: Bucket,
+    bucket: TokenBucket,
 }
 
 /// All customers that have something.
@@ -60,7 +60,7 @@
         return Err(Denied { kind: Kind::TooLarge, retry_after: None });
     }
     let (own, total) = lock(&shared.usage).rates(name);
-    let part = Allowance::of(own, total, lock(&shared.view).entries());
+    let part = LimitShare::from_usage(own, total, lock(&shared.view).entries());
     let now = shared.context.clock.now();
     let estimate = lock(&shared.usage).expect(name, estimate);
     let taken = lock(&shared.limits).take(name, row, part, estimate, now);
@@ -91,13 +91,13 @@
         &mut self,
         name: &str,
         row: &Customer,
-        part: Allowance,
+        part: LimitShare,
         estimate: u32,
         now: Uptime,
     ) -> Result<(), Denied> {
         let rate = part.apply(u64::from(row.units_s)) as f64;
         let burst = part.apply(u64::from(row.burst.max(1))) as f64;
-        let born = || Held { inflight: 0, waiting: 0, bucket: Bucket::new(rate, burst, now) };
+        let born = || Held { inflight: 0, waiting: 0, bucket: TokenBucket::new(rate, burst, now) };
         let held = self.held.entry(name.to_owned()).or_insert_with(born);
         let soon = Denied { kind: Kind::Limit, retry_after: Some(1) };
         if u64::from(held.inflight) >= part.apply(u64::from(row.inflight)) {
@@ -106,7 +106,7 @@
         if u64::from(held.waiting) >= part.apply(u64::from(row.queue)) {
             return Err(soon);
         }
-        held.bucket.reshape(rate, burst, now);
+        held.bucket.set_rate(rate, burst, now);
         if let Err(wait) = held.bucket.take(f64::from(estimate), now) {
             let wait = wait.ceil().min(3_600.0) as u32;
             return Err(Denied { kind: Kind::Limit, retry_after: Some(wait) });
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -3,7 +3,10 @@
 use super::{Shared, lock, view::Waits};
 use crate::objects::InstanceRole;
 use mastweir_core::{
-    share::{CustomerTag, Estimator, Fleet, Gate, Offered, Pending, Role, Tree, Usage, UsageRow},
+    share::{
+        AdmissionControl, CostEstimator, CustomerTag, FleetUsage, OfferedLoad, PendingUsage,
+        TreeRole, Usage, UsageRow, UsageTree,
+    },
     time::Uptime,
     wire::{self, Packet},
 };
@@ -65,11 +68,11 @@
     /// Units a second that they ask for here.
     own_rate: HashMap<CustomerTag, f64>,
     /// On its way up: from here and from children.
-    up: Pending,
+    up: PendingUsage,
     /// What other halls' leaders sent.
-    foreign: Pending,
-    gate: Gate,
-    estimator: Estimator<String>,
+    foreign: PendingUsage,
+    gate: AdmissionControl,
+    estimator: CostEstimator<String>,
     /// When servers were last asked for reports, and how often.
     subscribed: HashMap<SocketAddr, (Uptime, Duration)>,
     pace: Pace,
@@ -80,22 +83,22 @@
     pub fn ask(&mut self, customer: &str, weight: f64, units: u32, start: f64) -> bool {
         let tag = CustomerTag::of(customer);
         *self.own.entry(tag).or_default() += u64::from(units);
-        self.up.ask(tag, u64::from(units));
+        self.up.add_offered(tag, u64::from(units));
         self.gate.admit(tag, weight, f64::from(units), start)
     }
 
     /// A customer received service for a request for which `named` units were
     /// named.
     pub fn received(&mut self, customer: &str, named: u32, units: u32) {
-        self.up.deliver(u64::from(units));
+        self.up.add_delivered(u64::from(units));
         if units > 0 {
-            self.estimator.learn(customer.to_owned(), named, units);
+            self.estimator.record(customer.to_owned(), named, units);
         }
     }
 
     /// Units to expect of a request for which `named` units were named.
     pub fn expect(&self, customer: &str, named: u32) -> u32 {
-        self.estimator.expect(customer, named)
+        self.estimator.estimate(customer, named)
     }
 
     /// A customer's rate here and fleet-wide, in units a second.
@@ -108,7 +111,7 @@
 
     /// The part of a customer's requests that is let in.
     pub fn chance(&self, customer: &str, weight: f64) -> f64 {
-        self.gate.chance(CustomerTag::of(customer), weight)
+        self.gate.admit_ratio(CustomerTag::of(customer), weight)
     }
 
     /// Servers whose subscription is due.
@@ -151,11 +154,11 @@
         self.pace.period = Duration::from_millis(u64::from(usage.period_ms));
         let offered = |row: &UsageRow| {
             let weight = *weights.get(&row.customer)?;
-            Some(Offered { customer: row.customer, units: f64::from(row.units), weight })
+            Some(OfferedLoad { customer: row.customer, units: f64::from(row.units), weight })
         };
-        let rows: Vec<Offered> = usage.rows.iter().filter_map(offered).collect();
+        let rows: Vec<OfferedLoad> = usage.rows.iter().filter_map(offered).collect();
         let seconds = self.pace.period.as_secs_f64();
-        let fleet = Fleet { asked: usage.asked as f64, delivered: usage.delivered as f64 };
+        let fleet = FleetUsage { offered: usage.offered as f64, delivered: usage.delivered as f64 };
         self.gate.update(now.as_secs_f64(), &rows, seconds, fleet);
     }
 }
@@ -172,7 +175,8 @@
         closed = now;
         let tree = tree(&shared);
         let weights = weights(&shared);
-        let usage = lock(&shared.usage).up.take(false, |customer| weight(&weights, customer));
+        let usage =
+            lock(&shared.usage).up.next_packet(false, |customer| weight(&weights, customer));
         match &tree.parent {
             Some(parent) => send_all(&shared, slice::from_ref(parent), &usage).await,
             None => share_total(&shared, &tree, &usage, &weights).await,
@@ -187,7 +191,7 @@
         let now = shared.context.clock.now();
         lock(&shared.usage).take_total(now, &usage, &weights(shared));
         let tree = tree(shared);
-        if tree.role == Role::Leader {
+        if tree.role == TreeRole::Leader {
             let shared = shared.clone();
             tokio::spawn(async move { send_all(&shared, &tree.children, &usage).await });
         }
@@ -196,17 +200,17 @@
     let near = lock(&shared.view).instance(from).is_some_and(|s| s.hall == shared.context.hall);
     let mut exchange = lock(&shared.usage);
     let pending = if near { &mut exchange.up } else { &mut exchange.foreign };
-    pending.add(&usage);
+    pending.merge(&usage);
 }
 
 /// A hall's leader: its hall's rows go to the other leaders, and the sum with
 /// theirs goes down.
-async fn share_total(shared: &Arc<Shared>, tree: &Tree, usage: &Usage, weights: &Weights) {
+async fn share_total(shared: &Arc<Shared>, tree: &UsageTree, usage: &Usage, weights: &Weights) {
     send_all(shared, &tree.peers, usage).await;
     let total = {
         let mut exchange = lock(&shared.usage);
-        exchange.foreign.add(usage);
-        let mut total = exchange.foreign.take(true, |customer| weight(weights, customer));
+        exchange.foreign.merge(usage);
+        let mut total = exchange.foreign.next_packet(true, |customer| weight(weights, customer));
         exchange.pace.count(&total, tree.children.len());
         exchange.pace.count(usage, tree.peers.len());
         exchange.pace.decide();
@@ -227,7 +231,7 @@
     rows.customers.iter().map(|(name, row)| (CustomerTag::of(name), row.weight)).collect()
 }
 
-fn tree(shared: &Shared) -> Tree {
+fn tree(shared: &Shared) -> UsageTree {
     let view = lock(&shared.view);
     let members = lock(&shared.members);
     let own = shared.context.name.as_str();
@@ -236,7 +240,7 @@
     let mut places: Vec<(&str, &str)> =
         alive.map(|(name, spec)| (spec.hall.as_str(), name)).collect();
     places.push((&shared.context.hall, own));
-    Tree::of(own, &places)
+    UsageTree::of(own, &places)
 }
 
 async fn send_all(shared: &Shared, names: &[String], usage: &Usage) {
