--- a/crates/mastweir-bench/src/sim/routing/mod.rs
+++ b/crates/mastweir-bench/src/sim/routing/mod.rs
@@ -11,7 +11,7 @@
 use crate::stats::Times;
 use mastweir_core::{
     id::Incarnation,
-    route::{Known, Policy as RouterPolicy, Request, RetryBudget, Router, Signal},
+    route::{Policy as RouterPolicy, Request, RetryBudget, Router, ServerView, Signal},
     time::Uptime,
     wire::Load,
 };
@@ -98,10 +98,10 @@
     pub fn new(case: Case, policy: Policy, seed: u64) -> Self {
         let names: Vec<String> = (0..case.servers).map(|i| format!("server-{i}")).collect();
         let mut router = Router::new(RouterPolicy {
-            silent: std::time::Duration::from_secs_f64(3.0 * case.lag + 2.0),
+            max_silence: std::time::Duration::from_secs_f64(3.0 * case.lag + 2.0),
             ..RouterPolicy::default()
         });
-        router.set_servers(names.iter().map(|name| Known::new(name.clone(), true)).collect());
+        router.set_servers(names.iter().map(|name| ServerView::new(name.clone(), true)).collect());
         let routed = if policy == Policy::Current { case.entries } else { 0 };
         let server = |_| Server { slow: 1.0, ..Server::default() };
         Self {
@@ -261,13 +261,13 @@
             Policy::Current => {
                 let request = Request {
                     prefix: Some(job.prefix.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-                    saves: SAVES,
+                    saved_units: SAVES,
                     cost: COST,
                     tried: &job.tried,
                 };
                 let now = self.uptime();
                 let choice = self.routers[job.entry].choose(&request, now, &mut self.rng)?;
-                Some(choice.place)
+                Some(choice.index)
             }
         }
     }
@@ -331,21 +331,21 @@
         self.reported[server] = (held.queue.len() + held.running.len()) as f64 * held.slow;
         let now = self.uptime();
         for router in &mut self.routers {
-            router.report(server, &load, now);
+            router.on_report(server, &load, now);
         }
     }
 
     fn note_sent(&mut self, job: &Job, server: usize) {
         let now = self.uptime();
         if let Some(router) = self.routers.get_mut(job.entry) {
-            router.sent(server, COST, now);
+            router.on_sent(server, COST, now);
         }
     }
 
     fn note_ended(&mut self, job: &Job, server: usize, signal: Option<Signal>) {
         let now = self.uptime();
         if let Some(router) = self.routers.get_mut(job.entry) {
-            router.ended(server, signal, now);
+            router.on_ended(server, signal, now);
         }
     }
 
--- a/crates/mastweir-bench/src/sim/routing/serving.rs
+++ b/crates/mastweir-bench/src/sim/routing/serving.rs
@@ -50,7 +50,7 @@
         {
             self.out.itl.add((self.events.now - first) / job.tokens);
         }
-        self.note_ended(&job, server, Some(Signal::Good));
+        self.note_ended(&job, server, Some(Signal::Success));
         self.begin_next(server);
     }
 
--- a/crates/mastweir-core/src/route/health.rs
+++ b/crates/mastweir-core/src/route/health.rs
@@ -2,7 +2,7 @@
 //!
 //! A server is ejected after a run of failures or when calls on it stop making
 //! progress, for a time that doubles with each ejection. It comes back as a
-//! trial: one call at a time until some have ended well. Own signals only: a
+//! trial_calls: one call at a time until some have ended well. Own signals only: a
 //! report says that the agent is well, not that the engine makes progress.
 //!
 //! A gateway leaves servers out by other signs (`gateway::seen`): its sidecars do say
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// It ended well.
-    Good,
+    Success,
     /// No connection, or lost.
     Failed,
     /// No token for longer than its step time explains.
@@ -35,61 +35,61 @@
 pub struct Health {
     failures: u32,
     ejections: u32,
-    until: Option<Uptime>,
-    trial: u32,
+    ejected_until: Option<Uptime>,
+    trial_calls: u32,
 }
 
 impl Health {
     /// A server of which no call has been seen.
-    pub const NEW: Self = Self { failures: 0, ejections: 0, until: None, trial: 0 };
+    pub const NEW: Self = Self { failures: 0, ejections: 0, ejected_until: None, trial_calls: 0 };
 
     /// Takes a signal in. True if it ejects the server now.
-    pub fn on(&mut self, signal: Signal, now: Uptime) -> bool {
+    pub fn record(&mut self, signal: Signal, now: Uptime) -> bool {
         match signal {
-            Signal::Good => {
-                self.good();
+            Signal::Success => {
+                self.on_success();
                 false
             }
-            Signal::Failed | Signal::Stalled => self.bad(signal, now),
+            Signal::Failed | Signal::Stalled => self.on_failure(signal, now),
         }
     }
 
     /// Whether it is out at `now`.
     pub fn is_ejected(&self, now: Uptime) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.ejected_until.is_some_and(|until| now < until)
     }
 
     /// Whether it is back on trial at `now`: one call at a time.
     pub fn is_trial(&self, now: Uptime) -> bool {
-        self.trial > 0 && !self.is_ejected(now)
+        self.trial_calls > 0 && !self.is_ejected(now)
     }
 
-    fn good(&mut self) {
+    fn on_success(&mut self) {
         self.failures = 0;
-        if self.trial == 0 {
+        if self.trial_calls == 0 {
             return;
         }
-        self.trial -= 1;
-        if self.trial == 0 {
-            self.until = None;
+        self.trial_calls -= 1;
+        if self.trial_calls == 0 {
+            self.ejected_until = None;
             self.ejections = self.ejections.saturating_sub(1);
         }
     }
 
-    fn bad(&mut self, signal: Signal, now: Uptime) -> bool {
+    fn on_failure(&mut self, signal: Signal, now: Uptime) -> bool {
         if self.is_ejected(now) {
             return false;
         }
         self.failures += 1;
-        let at_once = signal == Signal::Stalled || self.trial > 0;
-        if self.failures < FAILURES_MAX && !at_once {
+        let is_immediate = signal == Signal::Stalled || self.trial_calls > 0;
+        if self.failures < FAILURES_MAX && !is_immediate {
             return false;
         }
         let doublings = self.ejections.min(EJECT_DOUBLINGS_MAX);
-        self.until = Some(now + EJECT_BASE * (1 << doublings));
+        self.ejected_until = Some(now + EJECT_BASE * (1 << doublings));
         self.ejections += 1;
         self.failures = 0;
-        self.trial = TRIAL_CALLS;
+        self.trial_calls = TRIAL_CALLS;
         true
     }
 }
--- a/crates/mastweir-core/src/route/mod.rs
+++ b/crates/mastweir-core/src/route/mod.rs
@@ -7,7 +7,7 @@
 //! - a few servers drawn at random, and one of them by *load interpretation*:
 //!   the older the reports, the less they decide, since all entries saw them;
 //! - own requests sent since a report, which it can't know of;
-//! - the prompt's prefix: its home servers on a [`Ring`] of hashes are always
+//! - the prompt's prefix: its home servers on a [`HashRing`] of hashes are always
 //!   candidates, so all entries agree on them without telling each other, and
 //!   a home wins only as long as its cache saves more than its queue costs.
 //!
@@ -16,14 +16,14 @@
 
 mod budget;
 mod health;
-mod known;
 mod policy;
 mod ring;
 mod router;
+mod server_view;
 
 pub use budget::RetryBudget;
 pub use health::{Health, Signal};
-pub use known::Known;
 pub use policy::Policy;
-pub use ring::Ring;
-pub use router::{Choice, Considered, Reason, Request, Router};
+pub use ring::HashRing;
+pub use router::{Candidate, Choice, Reason, Request, Router};
+pub use server_view::ServerView;
--- a/crates/mastweir-core/src/route/ring.rs
+++ b/crates/mastweir-core/src/route/ring.rs
@@ -4,32 +4,32 @@
 //! that comes or goes moves only the prefixes next to it.
 
 /// Points of one server: more make the parts more even.
-const POINTS: u64 = 24;
+const POINTS_PER_SERVER: u64 = 24;
 
 /// The ring.
 #[derive(Clone, Debug, Default)]
-pub struct Ring {
+pub struct HashRing {
     points: Vec<(u64, usize)>,
 }
 
-impl Ring {
+impl HashRing {
     /// A ring of servers, by their names in order of places.
     pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> Self {
         let mut points = Vec::new();
-        for (place, name) in names.enumerate() {
+        for (index, name) in names.enumerate() {
             let base = hash(name.bytes());
-            points.extend((0..POINTS).map(|i| (mix(base ^ mix(i + 1)), place)));
+            points.extend((0..POINTS_PER_SERVER).map(|i| (mix(base ^ mix(i + 1)), index)));
         }
         points.sort_unstable();
         Self { points }
     }
 
     /// Places from a prefix on; a place may come more than once.
-    pub fn from(&self, prefix: u64) -> impl Iterator<Item = usize> {
+    pub fn walk(&self, prefix: u64) -> impl Iterator<Item = usize> {
         let at = mix(prefix);
         let first = self.points.partition_point(|(point, _)| *point < at);
         let (before, after) = self.points.split_at(first);
-        after.iter().chain(before).map(|(_, place)| *place)
+        after.iter().chain(before).map(|(_, index)| *index)
     }
 }
 
--- a/crates/mastweir-core/src/route/router.rs
+++ b/crates/mastweir-core/src/route/router.rs
@@ -2,11 +2,11 @@
 //!
 //! An agent queues requests and reports the time that they take, so a choice is by what
 //! a request would wait, and by its prefix. A gateway's servers batch all they have
-//! ([`Fleet`]): there places, and the pass of a whole group, are what counts.
+//! ([`Fleet`]): there indices, and the pass of a whole group, are what counts.
 //!
 //! [`Fleet`]: crate::gateway::Fleet
 
-use super::{Health, Known, Policy, Ring, Signal};
+use super::{HashRing, Health, Policy, ServerView, Signal};
 use crate::{time::Uptime, wire::Load};
 use rand::{Rng, seq::index};
 use std::{collections::HashMap, time::Duration};
@@ -17,7 +17,7 @@
     /// Hash of the prompt's prefix, if it is worth keeping together.
     pub prefix: Option<u64>,
     /// Units that a cached prefix saves.
-    pub saves: u32,
+    pub saved_units: u32,
     /// Units of the whole request.
     pub cost: u32,
     /// Servers that were tried already.
@@ -26,9 +26,9 @@
 
 /// A candidate and what was expected of it, for the log line.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Considered {
+pub struct Candidate {
     /// Place among the servers.
-    pub place: usize,
+    pub index: usize,
     /// Expected time to the first token, in seconds, less what a cached prefix
     /// saves.
     pub wait: f64,
@@ -38,50 +38,50 @@
     pub age: f64,
     /// Part of an even spread that it is to get: above 1 if it has less work
     /// than others.
-    pub lean: f64,
+    pub weight: f64,
     /// Whether it is a home of the prefix.
-    pub home: bool,
+    pub is_affinity: bool,
 }
 
 /// Why a server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// Due first among the candidates.
-    Due,
+    NextDue,
     /// A home of the prefix, cheap enough.
     Prefix,
     /// The own hall was too slow.
     Spill,
     /// All in the own hall are away.
-    OnlyAway,
+    RemoteOnly,
 }
 
 /// A decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// Place of the chosen server.
-    pub place: usize,
+    pub index: usize,
     /// Expected time to its first token, in seconds.
     pub wait: f64,
     /// Why.
     pub reason: Reason,
     /// All candidates.
-    pub seen: Vec<Considered>,
+    pub candidates: Vec<Candidate>,
 }
 
 /// The servers of one service, as one entry sees them.
 #[derive(Clone, Debug)]
 pub struct Router {
-    servers: Vec<Known>,
-    places: HashMap<String, usize>,
-    ring: Ring,
+    servers: Vec<ServerView>,
+    indices: HashMap<String, usize>,
+    ring: HashRing,
     policy: Policy,
     /// Mean reported seconds of work over the servers, for aged reports.
-    mean: f64,
+    mean_work: f64,
     /// How far the round of own requests has come, in seconds of work.
-    round: f64,
+    virtual_time: f64,
     /// Time between reports that servers were asked for.
-    interval: Duration,
+    report_interval: Duration,
 }
 
 impl Router {
@@ -89,82 +89,82 @@
     pub fn new(policy: Policy) -> Self {
         Self {
             servers: Vec::new(),
-            places: HashMap::new(),
-            ring: Ring::default(),
+            indices: HashMap::new(),
+            ring: HashRing::default(),
             policy,
-            mean: 0.0,
-            round: 0.0,
-            interval: Duration::ZERO,
+            mean_work: 0.0,
+            virtual_time: 0.0,
+            report_interval: Duration::ZERO,
         }
     }
 
     /// The servers.
-    pub fn servers(&self) -> &[Known] {
+    pub fn servers(&self) -> &[ServerView] {
         &self.servers
     }
 
     /// Replaces the servers.
-    pub fn set_servers(&mut self, servers: Vec<Known>) {
-        let named = servers.iter().enumerate().map(|(place, known)| (known.name.clone(), place));
-        self.places = named.collect();
-        self.ring = Ring::new(servers.iter().map(|known| known.name.as_str()));
+    pub fn set_servers(&mut self, servers: Vec<ServerView>) {
+        let named = servers.iter().enumerate().map(|(index, server)| (server.name.clone(), index));
+        self.indices = named.collect();
+        self.ring = HashRing::new(servers.iter().map(|server| server.name.as_str()));
         self.servers = servers;
     }
 
     /// Reports come this often from now on: in a large fleet they are rare, and
     /// silence means less.
-    pub fn set_interval(&mut self, interval: Duration) {
-        self.interval = interval;
+    pub fn set_report_interval(&mut self, interval: Duration) {
+        self.report_interval = interval;
     }
 
     /// Place of a server.
-    pub fn place_of(&self, name: &str) -> Option<usize> {
-        self.places.get(name).copied()
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.indices.get(name).copied()
     }
 
     /// Takes a report in. One that is older than the last is dropped; one of
     /// another incarnation replaces all that was known.
-    pub fn report(&mut self, place: usize, load: &Load, now: Uptime) {
-        let Some(known) = self.servers.get_mut(place) else { return };
-        if let Some((last, _)) = &known.report {
+    pub fn on_report(&mut self, index: usize, load: &Load, now: Uptime) {
+        let Some(server) = self.servers.get_mut(index) else { return };
+        if let Some((last, _)) = &server.report {
             let same = last.incarnation == load.incarnation;
             if same && last.uptime > load.uptime {
                 return;
             }
             if !same {
-                known.health = Health::default();
+                server.health = Health::default();
             }
         }
-        known.report = Some((load.clone(), now));
-        known.sent = 0;
+        server.report = Some((load.clone(), now));
+        server.sent_units = 0;
         let work = reported_work(load);
-        self.mean += (work - self.mean) / (self.servers.len().max(4) as f64);
+        self.mean_work += (work - self.mean_work) / (self.servers.len().max(4) as f64);
     }
 
     /// A request was sent to a server: it is due again later, the later the
     /// slower it is and the less it is to get.
-    pub fn sent(&mut self, place: usize, cost: u32, now: Uptime) {
-        let lean = self.lean(place, now).max(LEAN_MIN);
-        let Some(known) = self.servers.get_mut(place) else { return };
-        known.sent += u64::from(cost);
-        known.flying += 1;
-        let rate = known.report.as_ref().map_or(1, |(load, _)| load.rate.max(1));
-        let step = f64::from(cost) / f64::from(rate) / lean;
+    pub fn on_sent(&mut self, index: usize, cost: u32, now: Uptime) {
+        let weight = self.weight(index, now).max(WEIGHT_MIN);
+        let Some(server) = self.servers.get_mut(index) else { return };
+        server.sent_units += u64::from(cost);
+        server.in_flight += 1;
+        let rate = server.report.as_ref().map_or(1, |(load, _)| load.rate.max(1));
+        let step = f64::from(cost) / f64::from(rate) / weight;
         // Who was away has no claim to what was sent meanwhile.
-        self.round = self.round.max(known.due);
-        known.due = known.due.max(self.round - BEHIND_MAX) + step;
+        self.virtual_time = self.virtual_time.max(server.due_at);
+        server.due_at = server.due_at.max(self.virtual_time - LAG_MAX_S) + step;
     }
 
     /// A request at a server has ended. True if that ejects the server.
-    pub fn ended(&mut self, place: usize, signal: Option<Signal>, now: Uptime) -> bool {
-        let good = matches!(signal, None | Some(Signal::Good));
+    pub fn on_ended(&mut self, index: usize, signal: Option<Signal>, now: Uptime) -> bool {
+        let good = matches!(signal, None | Some(Signal::Success));
         let may_eject = good || self.may_eject(now);
-        let Some(known) = self.servers.get_mut(place) else { return false };
-        known.flying = known.flying.saturating_sub(1);
+        let Some(server) = self.servers.get_mut(index) else { return false };
+        server.in_flight = server.in_flight.saturating_sub(1);
         match signal {
-            Some(Signal::Good) => known.health.on(Signal::Good, now),
+            Some(Signal::Success) => server.health.record(Signal::Success, now),
             // When many look bad at once, it is this entry that sees badly.
-            Some(signal) if may_eject => known.health.on(signal, now),
+            Some(signal) if may_eject => server.health.record(signal, now),
             _ => false,
         }
     }
@@ -172,7 +172,8 @@
     /// Chooses a server. `None` if none may take the request.
     pub fn choose(&self, request: &Request<'_>, now: Uptime, rng: &mut impl Rng) -> Option<Choice> {
         let best = self.choose_in(request, true, now, rng);
-        let slow = best.as_ref().is_none_or(|choice| choice.wait > self.policy.spill.as_secs_f64());
+        let slow =
+            best.as_ref().is_none_or(|choice| choice.wait > self.policy.spill_wait.as_secs_f64());
         if !slow {
             return best;
         }
@@ -180,8 +181,8 @@
         match best {
             Some(best) if best.wait <= other.wait => Some(best),
             best => {
-                other.reason = if best.is_some() { Reason::Spill } else { Reason::OnlyAway };
-                other.seen.extend(best.into_iter().flat_map(|best| best.seen));
+                other.reason = if best.is_some() { Reason::Spill } else { Reason::RemoteOnly };
+                other.candidates.extend(best.into_iter().flat_map(|best| best.candidates));
                 Some(other)
             }
         }
@@ -189,14 +190,14 @@
 
     /// Last reports of the servers that may be chosen.
     pub fn loads(&self, now: Uptime) -> impl Iterator<Item = &Load> {
-        let patience = self.patience();
-        let open = self.servers.iter().filter(move |known| known.is_open(now, patience));
-        open.filter_map(|known| known.report.as_ref().map(|(load, _)| load))
+        let max_age = self.max_silence();
+        let available = self.servers.iter().filter(move |server| server.is_available(now, max_age));
+        available.filter_map(|server| server.report.as_ref().map(|(load, _)| load))
     }
 
     /// Expected seconds until a server would begin with another request.
-    pub fn expect(&self, place: usize, now: Uptime) -> f64 {
-        self.consider(place, &Request::default(), false, now).wait
+    pub fn expected_wait(&self, index: usize, now: Uptime) -> f64 {
+        self.evaluate(index, &Request::default(), false, now).wait
     }
 
     /// Chooses among the servers of the own hall, or among the others.
@@ -207,48 +208,59 @@
         now: Uptime,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let open = |place: usize| self.is_candidate(place, request, own_hall, now);
-        let homes = self.homes(request, open);
-        let sampled = self.draw(open, rng);
-        let consider = |home| move |place| self.consider(place, request, home, now);
-        let sampled: Vec<Considered> = sampled.into_iter().map(consider(false)).collect();
-        let homes: Vec<Considered> = homes.into_iter().map(consider(true)).collect();
+        let available = |index: usize| self.is_candidate(index, request, own_hall, now);
+        let targets = self.affinity_targets(request, available);
+        let sampled = self.sample(available, rng);
+        let evaluate = |target| move |index| self.evaluate(index, request, target, now);
+        let sampled: Vec<Candidate> = sampled.into_iter().map(evaluate(false)).collect();
+        let targets: Vec<Candidate> = targets.into_iter().map(evaluate(true)).collect();
         let drawn = self.due_first(&sampled);
-        let home = homes.iter().min_by(|a, b| a.wait.total_cmp(&b.wait));
-        let home = home.filter(|home| self.is_fit_home(home, rng));
-        let (best, reason) = match (drawn, home) {
-            (Some(drawn), Some(home)) if home.wait <= drawn.wait => (home, Reason::Prefix),
-            (Some(drawn), _) => (drawn, Reason::Due),
-            (None, Some(home)) => (home, Reason::Prefix),
+        let target = targets.iter().min_by(|a, b| a.wait.total_cmp(&b.wait));
+        let target = target.filter(|target| self.accepts_affinity(target, rng));
+        let (best, reason) = match (drawn, target) {
+            (Some(drawn), Some(target)) if target.wait <= drawn.wait => (target, Reason::Prefix),
+            (Some(drawn), _) => (drawn, Reason::NextDue),
+            (None, Some(target)) => (target, Reason::Prefix),
             (None, None) => return None,
         };
-        let (place, wait) = (best.place, best.wait);
-        Some(Choice { place, wait, reason, seen: homes.into_iter().chain(sampled).collect() })
+        let (index, wait) = (best.index, best.wait);
+        Some(Choice {
+            index,
+            wait,
+            reason,
+            candidates: targets.into_iter().chain(sampled).collect(),
+        })
     }
 
     /// What is expected of a server.
-    fn consider(&self, place: usize, request: &Request<'_>, home: bool, now: Uptime) -> Considered {
-        let known = &self.servers[place];
-        let Some((load, at)) = &known.report else {
+    fn evaluate(
+        &self,
+        index: usize,
+        request: &Request<'_>,
+        is_affinity: bool,
+        now: Uptime,
+    ) -> Candidate {
+        let server = &self.servers[index];
+        let Some((load, at)) = &server.report else {
             let wait = f64::INFINITY;
-            return Considered { place, wait, work: 0.0, age: 0.0, lean: 0.0, home };
+            return Candidate { index, wait, work: 0.0, age: 0.0, weight: 0.0, is_affinity };
         };
         let age = now.since(*at).as_secs_f64();
         let rate = f64::from(load.rate.max(1));
-        let own = known.sent as f64 / rate;
+        let own = server.sent_units as f64 / rate;
         let work = reported_work(load) + own;
-        let trust = 0.5_f64.powf(age / self.policy.trust.as_secs_f64());
-        let likely = trust * work + (1.0 - trust) * self.mean.max(work.min(self.mean));
+        let trust = 0.5_f64.powf(age / self.policy.half_life.as_secs_f64());
+        let likely = trust * work + (1.0 - trust) * self.mean_work.max(work.min(self.mean_work));
         // Work beyond what fills the slots waits.
-        let full = FULL * self.full_work(place);
+        let full = FULL_RATIO * self.saturation_work(index);
         let queued = (likely - full).max(0.0);
         // The prompt runs in one slot, at its part of the rate.
         let slot = f64::from(load.slots.max(1)) / rate;
-        let saved = if home { f64::from(request.saves) * slot } else { 0.0 };
+        let saved = if is_affinity { f64::from(request.saved_units) * slot } else { 0.0 };
         let step = f64::from(load.step_us) / 1e6;
-        let away = if known.own_hall { 0.0 } else { self.policy.away.as_secs_f64() };
-        let lean = self.lean(place, now);
-        Considered { place, wait: queued + step + away - saved, work, age, lean, home }
+        let away = if server.own_hall { 0.0 } else { self.policy.remote_delay.as_secs_f64() };
+        let weight = self.weight(index, now);
+        Candidate { index, wait: queued + step + away - saved, work, age, weight, is_affinity }
     }
 
     /// Part of an even spread that a server is to get.
@@ -256,57 +268,63 @@
     /// To even out over the time from its report until the next, a server with
     /// less work than the mean has to get the difference more than others. The
     /// older the report, the longer that time, and the less it leans.
-    fn lean(&self, place: usize, now: Uptime) -> f64 {
-        let Some((load, at)) = &self.servers[place].report else { return 0.0 };
+    fn weight(&self, index: usize, now: Uptime) -> f64 {
+        let Some((load, at)) = &self.servers[index].report else { return 0.0 };
         let age = now.since(*at).as_secs_f64();
-        let arriving = ARRIVING * (age + EVEN_OUT);
-        (1.0 + (self.mean - reported_work(load)) / arriving).clamp(0.0, LEAN_MAX)
+        let arriving = ARRIVAL_RATE * (age + BALANCE_TIME_S);
+        (1.0 + (self.mean_work - reported_work(load)) / arriving).clamp(0.0, WEIGHT_MAX)
     }
 
     /// Whether a home may take a request out of turn: it has not had too many of
     /// this entry's, and the more seldom the more work it has. All entries send
     /// a popular prefix to the same homes, so an old report must not let all in.
-    fn is_fit_home(&self, home: &Considered, rng: &mut impl Rng) -> bool {
-        let ahead = self.servers[home.place].due - self.round;
-        let part = (home.lean - HOME_LEAN_MIN) / (HOME_LEAN_ALL - HOME_LEAN_MIN);
-        let roomy = home.work + HOME_DOUBT * home.age <= HOME_FULL * self.full_work(home.place);
-        roomy && ahead <= HOME_AHEAD_MAX && rng.random_range(0.0..1.0) < part
+    fn accepts_affinity(&self, target: &Candidate, rng: &mut impl Rng) -> bool {
+        let ahead = self.servers[target.index].due_at - self.virtual_time;
+        let part =
+            (target.weight - AFFINITY_WEIGHT_MIN) / (AFFINITY_WEIGHT_FULL - AFFINITY_WEIGHT_MIN);
+        let roomy = target.work + AFFINITY_ARRIVAL_RATE * target.age
+            <= AFFINITY_FULL_RATIO * self.saturation_work(target.index);
+        roomy && ahead <= AFFINITY_AHEAD_MAX_S && rng.random_range(0.0..1.0) < part
     }
 
     /// Seconds of work that fill a server's slots.
-    fn full_work(&self, place: usize) -> f64 {
-        let load = self.servers[place].report.as_ref().map(|(load, _)| load);
-        load.map_or(0.0, |load| slot_work(load) * f64::from(load.slots.max(1)))
+    fn saturation_work(&self, index: usize) -> f64 {
+        let load = self.servers[index].report.as_ref().map(|(load, _)| load);
+        load.map_or(0.0, |load| work_per_request(load) * f64::from(load.slots.max(1)))
     }
 
     /// The candidate that is due first, of those that are to get any.
-    fn due_first<'a>(&self, seen: &'a [Considered]) -> Option<&'a Considered> {
-        let due = |considered: &Considered| self.servers[considered.place].due;
-        let getting = seen.iter().filter(|considered| considered.lean >= LEAN_MIN);
+    fn due_first<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
+        let due = |candidate: &Candidate| self.servers[candidate.index].due_at;
+        let getting = candidates.iter().filter(|candidate| candidate.weight >= WEIGHT_MIN);
         let first = getting.min_by(|a, b| due(a).total_cmp(&due(b)));
-        first.or_else(|| seen.iter().max_by(|a, b| a.lean.total_cmp(&b.lean)))
+        first.or_else(|| candidates.iter().max_by(|a, b| a.weight.total_cmp(&b.weight)))
     }
 
     /// Places of the prefix's home servers.
-    fn homes(&self, request: &Request<'_>, open: impl Fn(usize) -> bool) -> Vec<usize> {
+    fn affinity_targets(
+        &self,
+        request: &Request<'_>,
+        available: impl Fn(usize) -> bool,
+    ) -> Vec<usize> {
         let Some(prefix) = request.prefix else { return Vec::new() };
-        let from = self.ring.from(prefix).take(HOMES_LOOKED_AT).filter(|place| open(*place));
-        let mut homes = Vec::with_capacity(self.policy.homes);
-        for place in from {
-            if !homes.contains(&place) {
-                homes.push(place);
+        let from = self.ring.walk(prefix).take(RING_POINTS_MAX).filter(|index| available(*index));
+        let mut targets = Vec::with_capacity(self.policy.affinity_targets);
+        for index in from {
+            if !targets.contains(&index) {
+                targets.push(index);
             }
-            if homes.len() == self.policy.homes {
+            if targets.len() == self.policy.affinity_targets {
                 break;
             }
         }
-        homes
+        targets
     }
 
     /// Open servers: all in a small fleet, else a few at random.
-    fn draw(&self, open: impl Fn(usize) -> bool, rng: &mut impl Rng) -> Vec<usize> {
+    fn sample(&self, available: impl Fn(usize) -> bool, rng: &mut impl Rng) -> Vec<usize> {
         let total = self.servers.len();
-        let fits = |place: &usize| open(*place);
+        let fits = |index: &usize| available(*index);
         if total == 0 {
             return Vec::new();
         }
@@ -325,62 +343,62 @@
 
     fn is_candidate(
         &self,
-        place: usize,
+        index: usize,
         request: &Request<'_>,
         own_hall: bool,
         now: Uptime,
     ) -> bool {
-        let known = &self.servers[place];
-        known.own_hall == own_hall
-            && known.is_open(now, self.patience())
-            && !known.health.is_ejected(now)
-            && !request.tried.contains(&known.name)
+        let server = &self.servers[index];
+        server.own_hall == own_hall
+            && server.is_available(now, self.max_silence())
+            && !server.health.is_ejected(now)
+            && !request.tried.contains(&server.name)
     }
 
     /// Silence after which a server is not chosen.
-    fn patience(&self) -> Duration {
-        self.policy.silent.max(self.interval * SILENT_INTERVALS)
+    fn max_silence(&self) -> Duration {
+        self.policy.max_silence.max(self.report_interval * MISSED_REPORTS_MAX)
     }
 
     fn may_eject(&self, now: Uptime) -> bool {
-        let out = self.servers.iter().filter(|known| known.health.is_ejected(now)).count();
+        let out = self.servers.iter().filter(|server| server.health.is_ejected(now)).count();
         (out + 1) * 100 <= self.servers.len() * self.policy.eject_pct
     }
 }
 
 /// Reports that may be missing before a server counts as silent.
-const SILENT_INTERVALS: u32 = 3;
+const MISSED_REPORTS_MAX: u32 = 3;
 /// Servers up to which all are candidates.
 const SCAN_MAX: usize = 128;
 /// Places of the ring that are looked at for open homes.
-const HOMES_LOOKED_AT: usize = 24;
+const RING_POINTS_MAX: usize = 24;
 /// Part of the slots' work beyond which a request is taken to wait.
-const FULL: f64 = 0.9;
+const FULL_RATIO: f64 = 0.9;
 /// Work that arrives at a server in a second, in seconds.
-const ARRIVING: f64 = 0.9;
+const ARRIVAL_RATE: f64 = 0.9;
 /// Seconds over which a difference is evened out, beyond a report's age.
-const EVEN_OUT: f64 = 6.0;
-const LEAN_MAX: f64 = 2.0;
-const LEAN_MIN: f64 = 0.1;
+const BALANCE_TIME_S: f64 = 6.0;
+const WEIGHT_MAX: f64 = 2.0;
+const WEIGHT_MIN: f64 = 0.1;
 /// Lean at which no request, and every one, may go to a home out of turn.
-const HOME_LEAN_MIN: f64 = 1.0;
-const HOME_LEAN_ALL: f64 = 1.05;
+const AFFINITY_WEIGHT_MIN: f64 = 1.0;
+const AFFINITY_WEIGHT_FULL: f64 = 1.05;
 /// Part of a home's slots that may be taken, and seconds of work that may have
 /// come for each second of its report's age.
-const HOME_FULL: f64 = 0.85;
-const HOME_DOUBT: f64 = 0.3;
+const AFFINITY_FULL_RATIO: f64 = 0.85;
+const AFFINITY_ARRIVAL_RATE: f64 = 0.3;
 /// Seconds of work that a home may be ahead in the round.
-const HOME_AHEAD_MAX: f64 = 0.08;
+const AFFINITY_AHEAD_MAX_S: f64 = 0.08;
 /// Seconds of work that a server may be behind in the round.
-const BEHIND_MAX: f64 = 1.0;
+const LAG_MAX_S: f64 = 1.0;
 
 /// Seconds of work at a server, running requests at half their cost.
 fn reported_work(load: &Load) -> f64 {
     let queued = f64::from(load.backlog) / f64::from(load.rate.max(1));
-    queued + f64::from(load.running) * slot_work(load)
+    queued + f64::from(load.running) * work_per_request(load)
 }
 
 /// Seconds of a server's work in one running request.
-fn slot_work(load: &Load) -> f64 {
+fn work_per_request(load: &Load) -> f64 {
     f64::from(load.each) / f64::from(load.rate.max(1))
 }
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -325,7 +325,7 @@
         if outcome == Outcome::Done
             && let Some(server) = self.tried.last().cloned()
         {
-            self.signal(&server, Signal::Good);
+            self.signal(&server, Signal::Success);
             let now = self.shared.context.clock.now();
             lock(&self.shared.suspects).finished(self.order.fingerprint(), now);
         }
--- a/src/mastweir/entry/calls/lines.rs
+++ b/src/mastweir/entry/calls/lines.rs
@@ -37,8 +37,8 @@
 
 /// The figures of a decision in one line.
 fn explain(chosen: &Chosen) -> String {
-    let seen = chosen.choice.seen.iter().zip(&chosen.names).map(|(seen, name)| {
-        let home = if seen.home { " home" } else { "" };
+    let seen = chosen.choice.candidates.iter().zip(&chosen.names).map(|(seen, name)| {
+        let home = if seen.is_affinity { " home" } else { "" };
         let (wait, work, age) = (seen.wait * 1e3, seen.work * 1e3, seen.age * 1e3);
         format!("{name}: wait {wait:.1} ms, work {work:.1} ms, report {age:.0} ms old{home}")
     });
--- a/src/mastweir/entry/order.rs
+++ b/src/mastweir/entry/order.rs
@@ -52,6 +52,6 @@
 
     /// What the router looks at.
     pub fn routing<'a>(&self, tried: &'a [String]) -> Request<'a> {
-        Request { prefix: self.prefix, saves: self.prefill / 2, cost: self.cost, tried }
+        Request { prefix: self.prefix, saved_units: self.prefill / 2, cost: self.cost, tried }
     }
 }
--- a/src/mastweir/entry/status.rs
+++ b/src/mastweir/entry/status.rs
@@ -137,7 +137,7 @@
                 running: report.map_or(0, |(load, _)| load.running),
                 leaving: known.leaving || report.is_some_and(|(load, _)| load.leaving),
                 ejected: known.health.is_ejected(now),
-                wait_s: report.map_or(0.0, |_| router.expect(place, now)),
+                wait_s: report.map_or(0.0, |_| router.expected_wait(place, now)),
                 skew: report.map_or(0, |(load, _)| load.skew),
             });
         }
--- a/src/mastweir/entry/view.rs
+++ b/src/mastweir/entry/view.rs
@@ -4,7 +4,7 @@
 use mastweir_core::{
     id::Fence,
     outcome::Binding,
-    route::{Choice, Known, Policy, Request, Router, Signal},
+    route::{Choice, Policy, Request, Router, ServerView, Signal},
     share::WAIT_MAX_S,
     time::Uptime,
     wire::Load,
@@ -111,7 +111,7 @@
 
     /// Reports are asked for this often from now on.
     pub fn set_interval(&mut self, interval: Duration) {
-        self.routers.values_mut().for_each(|router| router.set_interval(interval));
+        self.routers.values_mut().for_each(|router| router.set_report_interval(interval));
     }
 
     /// Servers that operators have drained.
@@ -149,8 +149,8 @@
     /// An agent's report.
     pub fn report(&mut self, server: &str, load: &Load, now: Uptime) {
         for router in self.routers.values_mut() {
-            if let Some(place) = router.place_of(server) {
-                router.report(place, load, now);
+            if let Some(place) = router.index_of(server) {
+                router.on_report(place, load, now);
             }
         }
     }
@@ -165,9 +165,9 @@
     ) -> Option<Chosen> {
         let router = self.routers.get(service)?;
         let choice = router.choose(request, now, rng)?;
-        let known = &router.servers()[choice.place];
+        let known = &router.servers()[choice.index];
         let fence = Fence { server: known.name.clone(), incarnation: known.incarnation()? };
-        let names = choice.seen.iter().map(|seen| router.servers()[seen.place].name.clone());
+        let names = choice.candidates.iter().map(|seen| router.servers()[seen.index].name.clone());
         Some(Chosen { fence, names: names.collect(), choice })
     }
 
@@ -200,7 +200,7 @@
     /// A request was sent to a server.
     pub fn sent(&mut self, service: &str, server: &str, cost: u32, now: Uptime) {
         if let Some((router, place)) = self.place(service, server) {
-            router.sent(place, cost, now);
+            router.on_sent(place, cost, now);
         }
     }
 
@@ -213,7 +213,7 @@
         now: Uptime,
     ) -> bool {
         let place = self.place(service, server);
-        place.is_some_and(|(router, place)| router.ended(place, signal, now))
+        place.is_some_and(|(router, place)| router.on_ended(place, signal, now))
     }
 
     /// Addresses of the servers that are routed to, each once.
@@ -226,14 +226,14 @@
     /// That agent's clock in `term`, as far as is known.
     fn expiry(&self, service: &str, server: &str, term: Duration, now: Uptime) -> Option<Uptime> {
         let router = self.routers.get(service)?;
-        let known = &router.servers()[router.place_of(server)?];
+        let known = &router.servers()[router.index_of(server)?];
         let (load, at) = known.report.as_ref()?;
         Some(load.uptime + now.since(*at) + term)
     }
 
     fn place(&mut self, service: &str, server: &str) -> Option<(&mut Router, usize)> {
         let router = self.routers.get_mut(service)?;
-        let place = router.place_of(server)?;
+        let place = router.index_of(server)?;
         Some((router, place))
     }
 
@@ -253,11 +253,13 @@
                 .routers
                 .entry(service.to_owned())
                 .or_insert_with(|| Router::new(Policy::default()));
-            let mut servers: Vec<Known> = names
+            let mut servers: Vec<ServerView> = names
                 .iter()
-                .map(|name| match router.place_of(name) {
+                .map(|name| match router.index_of(name) {
                     Some(place) => router.servers()[place].clone(),
-                    None => Known::new((*name).to_owned(), self.instances[*name].hall == self.hall),
+                    None => {
+                        ServerView::new((*name).to_owned(), self.instances[*name].hall == self.hall)
+                    }
                 })
                 .collect();
             for known in &mut servers {
--- a/tests/testsuite/fuzz_routing.rs
+++ b/tests/testsuite/fuzz_routing.rs
@@ -3,7 +3,7 @@
 
 use mastweir_core::{
     id::Incarnation,
-    route::{Known, Policy, Request, Router, Signal},
+    route::{Policy, Request, Router, ServerView, Signal},
     time::Uptime,
     wire::Load,
 };
@@ -23,7 +23,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let place = 0..200_usize;
-    let signal = prop_oneof![Just(Signal::Good), Just(Signal::Failed), Just(Signal::Stalled)];
+    let signal = prop_oneof![Just(Signal::Success), Just(Signal::Failed), Just(Signal::Stalled)];
     let step = prop_oneof![
         4 => (place.clone(), 0..5_000_u32, prop::bool::weighted(0.1))
             .prop_map(|(i, backlog, leaving)| Step::Report(i, backlog, leaving)),
@@ -35,25 +35,25 @@
     prop::collection::vec(step, 1..120)
 }
 
-fn is_open(known: &Known, now: Uptime, policy: &Policy, tried: &[String]) -> bool {
-    let Some((load, at)) = &known.report else { return false };
-    let on_trial = known.health.is_trial(now) && known.flying > 0;
+fn is_open(server: &ServerView, now: Uptime, policy: &Policy, tried: &[String]) -> bool {
+    let Some((load, at)) = &server.report else { return false };
+    let on_trial = server.health.is_trial(now) && server.in_flight > 0;
     !load.leaving
-        && now.since(*at) <= policy.silent
-        && !known.health.is_ejected(now)
+        && now.since(*at) <= policy.max_silence
+        && !server.health.is_ejected(now)
         && !on_trial
-        && !tried.contains(&known.name)
+        && !tried.contains(&server.name)
 }
 
 fn check(router: &Router, prefix: u64, tried: usize, now: Uptime, rng: &mut SmallRng) {
     let tried = vec![router.servers()[tried].name.clone()];
-    let request = Request { prefix: Some(prefix), saves: 10, cost: 100, tried: &tried };
+    let request = Request { prefix: Some(prefix), saved_units: 10, cost: 100, tried: &tried };
     let policy = Policy::default();
-    let open = |known: &Known| is_open(known, now, &policy, &tried);
+    let open = |server: &ServerView| is_open(server, now, &policy, &tried);
     match router.choose(&request, now, rng) {
         Some(choice) => {
-            let known = &router.servers()[choice.place];
-            assert!(open(known), "named a server that is not open: {known:?}");
+            let server = &router.servers()[choice.index];
+            assert!(open(server), "named a server that is not open: {server:?}");
         }
         None => assert!(!router.servers().iter().any(open), "an open server was not named"),
     }
@@ -62,8 +62,8 @@
 fn run(servers: usize, steps: &[Step]) {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut router = Router::new(Policy::default());
-    let known = |i| Known::new(format!("s{i}"), i % 3 != 0);
-    router.set_servers((0..servers).map(known).collect());
+    let server = |i| ServerView::new(format!("s{i}"), i % 3 != 0);
+    router.set_servers((0..servers).map(server).collect());
     let mut now = Uptime::from_secs(1);
     for step in steps {
         match step {
@@ -79,18 +79,18 @@
                     leaving: *leaving,
                     ..Load::default()
                 };
-                router.report(i % servers, &load, now);
+                router.on_report(i % servers, &load, now);
             }
-            Step::Send(i) => router.sent(i % servers, 100, now),
+            Step::Send(i) => router.on_sent(i % servers, 100, now),
             Step::End(i, signal) => {
-                router.ended(i % servers, Some(*signal), now);
+                router.on_ended(i % servers, Some(*signal), now);
             }
             Step::Pass(millis) => now = now + Duration::from_millis(*millis),
             Step::Choose(prefix, tried) => {
                 check(&router, *prefix, tried % servers, now, &mut rng);
             }
         }
-        let out = router.servers().iter().filter(|known| known.health.is_ejected(now)).count();
+        let out = router.servers().iter().filter(|server| server.health.is_ejected(now)).count();
         assert!(out * 100 <= servers * Policy::default().eject_pct, "too many are ejected");
     }
 }
@@ -126,14 +126,14 @@
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut router = Router::new(Policy::default());
-        router.set_servers((0..20).map(|i| Known::new(format!("s{i}"), true)).collect());
+        router.set_servers((0..20).map(|i| ServerView::new(format!("s{i}"), true)).collect());
         let now = Uptime::from_secs(1);
         for place in 0..20 {
             let load = Load { slots: 4, rate: 400, each: 50, ..Load::default() };
-            router.report(place, &load, now);
+            router.on_report(place, &load, now);
         }
         let choice = router.choose(&Request::default(), now, &mut rng);
-        chosen.extend(choice.map(|choice| choice.place));
+        chosen.extend(choice.map(|choice| choice.index));
     }
     assert!(chosen.len() > 8, "20 entries began with {} servers", chosen.len());
 }
