--- a/crates/mastweir-bench/src/sim/limits.rs
+++ b/crates/mastweir-bench/src/sim/limits.rs
@@ -246,7 +246,7 @@
     fn tend(&mut self, number: usize) {
         let is_own = self.lender_for(number) == Some(self.gateways[number].ip);
         let own = is_own.then_some(SERVER);
-        self.gateways[number].lender.tend(own.into_iter(), Uptime::from_millis(self.now_ms));
+        self.gateways[number].lender.set_servers(own.into_iter(), Uptime::from_millis(self.now_ms));
     }
 
     /// The part of the limit that a gateway may lend.
@@ -323,7 +323,7 @@
         };
         let per_s = self.case.per_s * self.part(lender);
         let now = Uptime::from_millis(now_ms);
-        let loan = self.gateways[lender].lender.lend(SERVER, per_s, wants, now);
+        let loan = self.gateways[lender].lender.grant(SERVER, per_s, wants, now);
         for side in [number, lender] {
             self.gateways[side].messages += 2;
         }
--- a/crates/mastweir-core/src/gateway/choice.rs
+++ b/crates/mastweir-core/src/gateway/choice.rs
@@ -161,7 +161,7 @@
             let is_listed = server.is_some_and(|server| server.service == needs.service);
             is_listed && self.is_usable(id, needs, now)
         };
-        let lent: Vec<&String> = self.tokens.held(now).filter(fits).collect();
+        let lent: Vec<&String> = self.tokens.servers(now).filter(fits).collect();
         let best = self.best(&lent, needs, now);
         let (fit, id) = best.filter(|(fit, _)| fit.has_room(needs.room))?;
         Some(self.candidate(self.roster.server(id)?, fit, now))
--- a/crates/mastweir-core/src/gateway/fingerprint.rs
+++ b/crates/mastweir-core/src/gateway/fingerprint.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 /// Bytes between two parts, which no part of a request's head holds.
-const BETWEEN: &[u8] = b"\r\n";
+const SEPARATOR: &[u8] = b"\r\n";
 
 /// A request's fingerprint: 64 bits, so that among a million requests that are remembered
 /// the chance that another one has the fingerprint of one of them is one in 10^13.
@@ -37,18 +37,18 @@
         let mut hasher = blake3::Hasher::new();
         for part in [asked.customer, asked.host, asked.path] {
             hasher.update(part.as_bytes());
-            hasher.update(BETWEEN);
+            hasher.update(SEPARATOR);
         }
         hasher.update(asked.body);
-        Self::cut(&hasher.finalize())
+        Self::truncate(&hasher.finalize())
     }
 
     /// The fingerprint of a server's life, by its id.
-    pub fn of_life(id: &str) -> Self {
-        Self::cut(&blake3::hash(id.as_bytes()))
+    pub fn of_incarnation(id: &str) -> Self {
+        Self::truncate(&blake3::hash(id.as_bytes()))
     }
 
-    fn cut(hash: &blake3::Hash) -> Self {
+    fn truncate(hash: &blake3::Hash) -> Self {
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&hash.as_bytes()[..8]);
         Self(u64::from_le_bytes(bytes))
--- a/crates/mastweir-core/src/gateway/fleet.rs
+++ b/crates/mastweir-core/src/gateway/fleet.rs
@@ -142,10 +142,10 @@
         }
         // Reports that never named a limit say nothing of one.
         seen.reports_limit |= told.limit.is_some();
-        let word = LimitReport::read(told.limit, now - age);
+        let word = LimitReport::from_sidecar(told.limit, now - age);
         let limit =
-            if seen.reports_limit { self.limits.heard(id, told.born, word, now) } else { None };
-        let leaves = told.leaving && self.notices.leaves(id, told.born, now);
+            if seen.reports_limit { self.limits.record(id, told.born, word, now) } else { None };
+        let leaves = told.leaving && self.notices.mark_leaving(id, told.born, now);
         seen.told_by_sidecar(told, now - age, now);
         News { leaves, limit }
     }
@@ -252,13 +252,13 @@
 
     /// A life of a server says that it leaves: it gets no new requests. True if that is news.
     pub fn leaves(&mut self, id: &str, born: u64, now: Uptime) -> bool {
-        !self.is_over(id, born) && self.notices.leaves(id, born, now)
+        !self.is_over(id, born) && self.notices.mark_leaving(id, born, now)
     }
 
     /// A life of a server wants no requests of this gateway for a time.
     pub fn backs_off(&mut self, id: &str, born: u64, wait: Duration, now: Uptime) {
         if !self.is_over(id, born) {
-            self.notices.backs_off(id, born, now + wait, now);
+            self.notices.set_backoff(id, born, now + wait, now);
         }
     }
 
@@ -271,12 +271,12 @@
         word: LimitReport,
         now: Uptime,
     ) -> Option<LimitChange> {
-        if self.is_over(id, born) { None } else { self.limits.heard(id, born, word, now) }
+        if self.is_over(id, born) { None } else { self.limits.record(id, born, word, now) }
     }
 
     /// Limits to be told to other gateways: what changed a moment ago, or `all` that holds.
     pub fn limits_told(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
-        self.limits.told(all, now)
+        self.limits.updates(all, now)
     }
 
     /// Whether another life of a server has begun since: late word of this one is not its.
@@ -291,9 +291,9 @@
             return None;
         }
         let born = self.seen.get(id).map_or(0, |seen| seen.born);
-        let bar = self.notices.bar(id, born, now);
+        let bar = self.notices.exclusion(id, born, now);
         bar.or_else(|| {
-            self.limits.of(id, born).map(|_| Exclusion::Limited(self.tokens.wait(id, now)))
+            self.limits.rate(id, born).map(|_| Exclusion::Limited(self.tokens.wait(id, now)))
         })
     }
 
@@ -304,7 +304,7 @@
 
     /// The limit that a server names, if it does.
     pub fn limit(&self, id: &str) -> Option<Rate> {
-        self.limits.of(id, self.seen.get(id).map_or(0, |seen| seen.born))
+        self.limits.rate(id, self.seen.get(id).map_or(0, |seen| seen.born))
     }
 
     /// Servers that name a limit, as far as they are listed.
@@ -317,19 +317,19 @@
         let ready = self.roster.ready(service).iter();
         let is_missing = |id: &&String| {
             let is_limited = matches!(self.bar(id, now), Some(Exclusion::Limited(_)));
-            is_limited && self.tokens.is_missing(id, now)
+            is_limited && self.tokens.is_needed(id, now)
         };
         ready.filter(is_missing).filter_map(|id| self.roster.server(id)).collect()
     }
 
     /// Tokens for a server were lent, good until then.
     pub fn lent(&mut self, id: &str, count: u32, until: Uptime) {
-        self.tokens.lent(id, count, until);
+        self.tokens.add(id, count, until);
     }
 
     /// None was lent, nor is any before that.
     pub fn none_lent(&mut self, id: &str, before: Uptime) {
-        self.tokens.none_before(id, before);
+        self.tokens.set_retry(id, before);
     }
 
     /// Takes a token for a request that was chosen a server, where it names a limit.
--- a/crates/mastweir-core/src/gateway/lag.rs
+++ b/crates/mastweir-core/src/gateway/lag.rs
@@ -9,7 +9,7 @@
 /// How long another's newer state has to last before it is fetched, and before it is
 /// fetched again: the store usually brings it by itself, a little later while changes
 /// are gathered.
-const BEHIND_LASTS: Duration = Duration::from_millis(350);
+const FETCH_DELAY: Duration = Duration::from_millis(350);
 
 /// How far a gateway is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -36,7 +36,13 @@
 impl Lag {
     /// Another said how far it is; whether its state has to be fetched now. One that
     /// knows nothing yet (`is_new`) has nothing to wait for.
-    pub fn heard(&mut self, own: Versions, other: Versions, is_new: bool, now: Uptime) -> bool {
+    pub fn is_fetch_due(
+        &mut self,
+        own: Versions,
+        other: Versions,
+        is_new: bool,
+        now: Uptime,
+    ) -> bool {
         // What was lacking has come by itself. Kept, its age made the next change a fetch:
         // 36 in 25 s among 30 gateways, none without.
         if self.ahead.is_some_and(|(_, seen)| !own.is_behind(seen)) {
@@ -47,7 +53,7 @@
         }
         let is_due = match self.ahead {
             None => is_new,
-            Some((since, _)) => now.since(since) >= BEHIND_LASTS,
+            Some((since, _)) => now.since(since) >= FETCH_DELAY,
         };
         if is_due || self.ahead.is_none() {
             self.ahead = Some((now, other));
--- a/crates/mastweir-core/src/gateway/listeners.rs
+++ b/crates/mastweir-core/src/gateway/listeners.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::IpAddr, time::Duration};
 
 /// One that was not heard for this long is told no more: six of its greetings.
-const LISTENER_LASTS: Duration = Duration::from_secs(3);
+const LISTENER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Listeners.
 #[derive(Clone, Debug, Default)]
@@ -12,13 +12,13 @@
 
 impl Listeners {
     /// One was heard. True if it was not known.
-    pub fn heard(&mut self, ip: IpAddr, now: Uptime) -> bool {
+    pub fn refresh(&mut self, ip: IpAddr, now: Uptime) -> bool {
         self.0.insert(ip, now).is_none()
     }
 
     /// Forgets those that are gone, and gives them.
     pub fn expire(&mut self, now: Uptime) -> Vec<IpAddr> {
-        let gone = |at: &Uptime| now.since(*at) >= LISTENER_LASTS;
+        let gone = |at: &Uptime| now.since(*at) >= LISTENER_TIMEOUT;
         let lost = self.0.iter().filter(|(_, at)| gone(at)).map(|(ip, _)| *ip).collect();
         self.0.retain(|_, at| !gone(at));
         lost
--- a/crates/mastweir-core/src/gateway/liveness.rs
+++ b/crates/mastweir-core/src/gateway/liveness.rs
@@ -14,7 +14,7 @@
 /// Pause after a probe that missed: with the wait for its answer, a watch lost in an outage
 /// is placed anew within 1.2 s of the store's return. By its own end alone it took 9.5 s at
 /// a gateway and up to 310 s at an entry, and changes were in force as much later.
-const PROBE_AGAIN: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// What came of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     /// Takes a probe in; says if the watch has to be given up.
     ///
     /// While probes miss, the watch is kept: nothing better can be had.
-    pub fn probed(&mut self, probe: ProbeResult) -> Option<WatchFailure> {
+    pub fn record_probe(&mut self, probe: ProbeResult) -> Option<WatchFailure> {
         let was_silent = std::mem::replace(&mut self.silent, probe == ProbeResult::Missed);
         match probe {
             ProbeResult::Missed => None,
@@ -58,8 +58,8 @@
 
     /// Pause until the next probe, of which one is sent each `every` while they are
     /// answered.
-    pub const fn pause(&self, every: Duration) -> Duration {
-        if self.silent { PROBE_AGAIN } else { every }
+    pub const fn probe_interval(&self, every: Duration) -> Duration {
+        if self.silent { RETRY_INTERVAL } else { every }
     }
 
     /// Whether the last probe missed.
--- a/crates/mastweir-core/src/gateway/mod.rs
+++ b/crates/mastweir-core/src/gateway/mod.rs
@@ -50,7 +50,7 @@
 pub use pace::held;
 pub use passes::Passes;
 pub use peers::{PeerInfo, PeerState, Peers};
-pub use permit_issuer::{HANDOVER, PERMIT_LIFETIME, PermitGrant, PermitIssuer, issuer_of};
+pub use permit_issuer::{HANDOVER_DELAY, PERMIT_LIFETIME, PermitGrant, PermitIssuer, issuer_of};
 pub use permit_requester::{PermitRequest, PermitRequester};
 pub use poison_requests::{PoisonRequests, QUARANTINE_DURATION, Quarantine, SuspectReport};
 pub use rate_limits::{LimitChange, LimitReport, LimitUpdate, Rate};
--- a/crates/mastweir-core/src/gateway/permit_requester.rs
+++ b/crates/mastweir-core/src/gateway/permit_requester.rs
@@ -18,31 +18,31 @@
 
 /// Servers of a service that are asked for in one round, and no more than there are requests:
 /// what is lent beyond those lapses here and is missing elsewhere.
-const SERVERS_ASKED: usize = 4;
+const SERVERS_PER_ROUND: usize = 4;
 /// Tokens for one server in one round, at most.
-const TOKENS_ASKED: u32 = 64;
+const MAX_PERMITS: u32 = 64;
 /// Servers that one gateway is asked for in one round: what fits into a datagram.
-const ASKED_OF_ONE: usize = 28;
+const SERVERS_PER_REQUEST: usize = 28;
 /// A gateway that gave no answer for this long is not asked for a while.
-const ANSWER_LASTS: Duration = Duration::from_millis(250);
-const SILENT_LASTS: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+const SILENT_DURATION: Duration = Duration::from_secs(2);
 
 /// What is asked of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitRequest {
     /// The gateway; may be this one.
-    pub lender: IpAddr,
+    pub issuer: IpAddr,
     /// Tells its answer from others.
     pub number: u64,
     /// Servers, and how many tokens are wanted.
-    pub wants: Vec<(String, u32)>,
+    pub wanted: Vec<(String, u32)>,
 }
 
 /// One that was asked.
 #[derive(Clone, Copy, Debug)]
 struct SentRequest {
-    lender: IpAddr,
-    at: Uptime,
+    issuer: IpAddr,
+    sent_at: Uptime,
 }
 
 /// What a gateway wants to borrow, and of whom.
@@ -50,10 +50,10 @@
 pub struct PermitRequester {
     own: IpAddr,
     /// Requests that came since the last round, by service.
-    wants: BTreeMap<String, u32>,
+    demand: BTreeMap<String, u32>,
     /// Those who were asked and have not answered, by the numbers of what was asked.
-    asked: HashMap<u64, SentRequest>,
-    last: u64,
+    sent: HashMap<u64, SentRequest>,
+    last_number: u64,
     /// Those who gave no answer, and when that was noticed.
     silent: HashMap<IpAddr, Uptime>,
 }
@@ -64,33 +64,39 @@
     pub fn new(own: IpAddr, first: u64) -> Self {
         Self {
             own,
-            wants: BTreeMap::new(),
-            asked: HashMap::new(),
-            last: first,
+            demand: BTreeMap::new(),
+            sent: HashMap::new(),
+            last_number: first,
             silent: HashMap::new(),
         }
     }
 
     /// A request came for a service, or still waits.
-    pub fn want(&mut self, service: &str) {
-        match self.wants.get_mut(service) {
+    pub fn add_demand(&mut self, service: &str) {
+        match self.demand.get_mut(service) {
             Some(count) => *count += 1,
-            None => drop(self.wants.insert(service.to_owned(), 1)),
+            None => drop(self.demand.insert(service.to_owned(), 1)),
         }
     }
 
     /// Whom to ask for a server's tokens. That one did not answer is no word on who lends: a
     /// gateway that took itself for the lender by that lent beside the one that it had not
     /// reached.
-    fn whom(&self, server: &Server, peers: &Peers, leaving: bool, now: Uptime) -> Option<IpAddr> {
-        let mut lenders = peers.lenders(&server.hall, now);
+    fn choose_issuer(
+        &self,
+        server: &Server,
+        peers: &Peers,
+        leaving: bool,
+        now: Uptime,
+    ) -> Option<IpAddr> {
+        let mut issuers = peers.issuers(&server.hall, now);
         let leaves = |ip: &IpAddr| leaving && *ip == self.own;
-        lenders.retain(|ip| !self.silent.contains_key(ip) && !leaves(ip));
-        issuer_of(&server.id, &lenders)
+        issuers.retain(|ip| !self.silent.contains_key(ip) && !leaves(ip));
+        issuer_of(&server.id, &issuers)
     }
 
     /// What is to be asked now, of whom.
-    pub fn ask(
+    pub fn next_requests(
         &mut self,
         fleet: &Fleet,
         peers: &Peers,
@@ -98,46 +104,50 @@
         rng: &mut impl Rng,
         now: Uptime,
     ) -> Vec<PermitRequest> {
-        self.note_silent(now);
+        self.expire_sent(now);
         let mut wants: BTreeMap<IpAddr, Vec<(String, u32)>> = BTreeMap::new();
-        for (service, count) in std::mem::take(&mut self.wants) {
+        for (service, count) in std::mem::take(&mut self.demand) {
             let missing = fleet.tokens_missing(&service, now);
-            let servers: Vec<&Server> =
-                missing.choose_multiple(rng, SERVERS_ASKED.min(count as usize)).copied().collect();
-            let each = count.div_ceil(servers.len().max(1) as u32).min(TOKENS_ASKED);
+            let servers: Vec<&Server> = missing
+                .choose_multiple(rng, SERVERS_PER_ROUND.min(count as usize))
+                .copied()
+                .collect();
+            let each = count.div_ceil(servers.len().max(1) as u32).min(MAX_PERMITS);
             for server in servers {
-                let Some(lender) = self.whom(server, peers, leaving, now) else { continue };
+                let Some(lender) = self.choose_issuer(server, peers, leaving, now) else {
+                    continue;
+                };
                 let of_one = wants.entry(lender).or_default();
-                if of_one.len() < ASKED_OF_ONE {
+                if of_one.len() < SERVERS_PER_REQUEST {
                     of_one.push((server.id.clone(), each));
                 }
             }
         }
-        wants.into_iter().map(|(lender, wants)| self.asked(lender, wants, now)).collect()
+        wants.into_iter().map(|(lender, wants)| self.request(lender, wants, now)).collect()
     }
 
-    fn asked(&mut self, lender: IpAddr, wants: Vec<(String, u32)>, now: Uptime) -> PermitRequest {
-        self.last = self.last.wrapping_add(1);
-        self.asked.insert(self.last, SentRequest { lender, at: now });
-        PermitRequest { lender, number: self.last, wants }
+    fn request(&mut self, lender: IpAddr, wants: Vec<(String, u32)>, now: Uptime) -> PermitRequest {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.sent.insert(self.last_number, SentRequest { issuer: lender, sent_at: now });
+        PermitRequest { issuer: lender, number: self.last_number, wanted: wants }
     }
 
     /// An answer came. When it was asked for, from when on what is lent counts; none for one
     /// that comes too late, or that this process did not ask for.
-    pub fn answered(&mut self, number: u64, now: Uptime) -> Option<Uptime> {
-        let SentRequest { lender, at } = self.asked.remove(&number)?;
+    pub fn accept_answer(&mut self, number: u64, now: Uptime) -> Option<Uptime> {
+        let SentRequest { issuer: lender, sent_at: at } = self.sent.remove(&number)?;
         self.silent.remove(&lender);
-        (now.since(at) < ANSWER_LASTS).then_some(at)
+        (now.since(at) < ANSWER_TIMEOUT).then_some(at)
     }
 
     /// Passes over those who did not answer, until they may be asked again.
-    fn note_silent(&mut self, now: Uptime) {
-        self.silent.retain(|_, at| now.since(*at) < SILENT_LASTS);
+    fn expire_sent(&mut self, now: Uptime) {
+        self.silent.retain(|_, at| now.since(*at) < SILENT_DURATION);
         let silent = &mut self.silent;
-        self.asked.retain(|_, asked| {
-            let waits = now.since(asked.at) < ANSWER_LASTS;
+        self.sent.retain(|_, asked| {
+            let waits = now.since(asked.sent_at) < ANSWER_TIMEOUT;
             if !waits {
-                silent.insert(asked.lender, now);
+                silent.insert(asked.issuer, now);
             }
             waits
         });
--- a/crates/mastweir-core/src/gateway/rate_limits.rs
+++ b/crates/mastweir-core/src/gateway/rate_limits.rs
@@ -8,22 +8,22 @@
 //! is; where they don't, the stricter one does. That a limit has ended is kept as well, or an
 //! older word of it would bring it back. A server that begins another life has none.
 
-use super::server_notices::is_other;
+use super::server_notices::is_other_incarnation;
 use crate::time::Uptime;
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, fmt, time::Duration};
 
 /// Words of servers that are not listed, and ends of limits, are kept this long: entries that
 /// lapsed in an outage are back within seconds, and older words have arrived by then.
-const KEPT: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 /// A change is told on for so long: three times, since datagrams are lost.
-const NEWS_LASTS: Duration = Duration::from_millis(450);
+const GOSSIP_DURATION: Duration = Duration::from_millis(450);
 /// An end that another gateway tells of may be older than it says by this: the datagram's way,
 /// and the time it was not read.
-const TOLD_LATE: Duration = Duration::from_millis(500);
+const MAX_DELAY: Duration = Duration::from_millis(500);
 const MICROS: f64 = 1e6;
 /// Requests a second beyond which a limit binds nothing: what is told of it stays small.
-const PER_S_MAX: f64 = 1e6;
+const MAX_PER_S: f64 = 1e6;
 
 /// Requests a second, in millionths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     /// So many requests a second; none if that is no rate.
     pub fn per_second(requests: f64) -> Option<Self> {
         let is_rate = requests.is_finite() && requests >= 0.0;
-        is_rate.then_some(Self((requests.min(PER_S_MAX) * MICROS) as u64))
+        is_rate.then_some(Self((requests.min(MAX_PER_S) * MICROS) as u64))
     }
 
     /// Requests a second.
@@ -54,21 +54,21 @@
     /// The limit; none if it names none.
     pub rate: Option<Rate>,
     /// When its request left.
-    pub asked: Uptime,
+    pub sent: Uptime,
     /// When it came.
-    pub heard: Uptime,
+    pub received: Uptime,
 }
 
 impl LimitReport {
     /// A report that was read at a time. An end may be older than it says, as all that
     /// others tell.
-    pub(super) fn read(rate: Option<Rate>, at: Uptime) -> Self {
-        let late = if rate.is_none() { TOLD_LATE } else { Duration::ZERO };
-        Self { rate, asked: at - late, heard: at }
+    pub(super) fn from_sidecar(rate: Option<Rate>, at: Uptime) -> Self {
+        let late = if rate.is_none() { MAX_DELAY } else { Duration::ZERO };
+        Self { rate, sent: at - late, received: at }
     }
 
     fn is_later_than(self, other: Self) -> bool {
-        self.asked >= other.heard
+        self.sent >= other.received
     }
 
     fn is_stricter_than(self, other: Self) -> bool {
@@ -76,9 +76,9 @@
     }
 
     /// The same, with what may have been said behind it.
-    fn or_later(self, other: Self) -> Self {
-        let (asked, heard) = (self.asked.max(other.asked), self.heard.max(other.heard));
-        Self { asked, heard, ..self }
+    fn with_times(self, other: Self) -> Self {
+        let (asked, heard) = (self.sent.max(other.sent), self.received.max(other.received));
+        Self { sent: asked, received: heard, ..self }
     }
 }
 
@@ -97,38 +97,38 @@
     /// The server.
     pub server: String,
     /// The life that said so; zero if that is not known.
-    pub born: u64,
+    pub incarnation: u64,
     /// The limit; none if it has ended.
     pub rate: Option<Rate>,
     /// Milliseconds since the request left whose answer said so.
-    pub asked_ms: u32,
+    pub sent_ms: u32,
     /// Milliseconds since that answer came.
-    pub heard_ms: u32,
+    pub received_ms: u32,
 }
 
 impl LimitUpdate {
     /// The word, on the clock of the gateway that was told.
-    pub fn word(&self, now: Uptime) -> LimitReport {
+    pub fn report(&self, now: Uptime) -> LimitReport {
         let before = |ms: u32| now - Duration::from_millis(u64::from(ms));
-        let late = if self.rate.is_none() { TOLD_LATE } else { Duration::ZERO };
+        let late = if self.rate.is_none() { MAX_DELAY } else { Duration::ZERO };
         LimitReport {
             rate: self.rate,
-            asked: before(self.asked_ms) - late,
-            heard: before(self.heard_ms),
+            sent: before(self.sent_ms) - late,
+            received: before(self.received_ms),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    born: u64,
-    word: LimitReport,
+struct Entry {
+    incarnation: u64,
+    report: LimitReport,
     changed: Uptime,
 }
 
 /// Limits by the ids of the servers that named them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct RateLimits(HashMap<String, Known>);
+pub(super) struct RateLimits(HashMap<String, Entry>);
 
 impl RateLimits {
     /// Whether no server has named any.
@@ -137,18 +137,19 @@
     }
 
     /// The limit of a life of a server, if it names one.
-    pub(super) fn of(&self, id: &str, born: u64) -> Option<Rate> {
-        let known = self.0.get(id).filter(|known| !is_other(known.born, born))?;
-        known.word.rate
+    pub(super) fn rate(&self, id: &str, born: u64) -> Option<Rate> {
+        let known =
+            self.0.get(id).filter(|known| !is_other_incarnation(known.incarnation, born))?;
+        known.report.rate
     }
 
     /// Servers that name a limit.
     pub(super) fn limited(&self) -> impl Iterator<Item = (&str, Rate)> {
-        self.0.iter().filter_map(|(id, known)| Some((id.as_str(), known.word.rate?)))
+        self.0.iter().filter_map(|(id, known)| Some((id.as_str(), known.report.rate?)))
     }
 
     /// Takes a word of a life of a server in; gives what that changes.
-    pub(super) fn heard(
+    pub(super) fn record(
         &mut self,
         id: &str,
         born: u64,
@@ -158,19 +159,19 @@
         let Some(known) = self.0.get_mut(id) else {
             // Most answers name none.
             word.rate?;
-            self.0.insert(id.to_owned(), Known { born, word, changed: now });
+            self.0.insert(id.to_owned(), Entry { incarnation: born, report: word, changed: now });
             return Some(LimitChange { before: None, now: word.rate });
         };
-        let before = known.word;
+        let before = known.report;
         // News even where another life names the same: others hold it for the life before.
-        let is_other_life = is_other(known.born, born);
+        let is_other_life = is_other_incarnation(known.incarnation, born);
         if is_other_life || word.is_later_than(before) {
-            known.word = word;
+            known.report = word;
         } else if !before.is_later_than(word) && word.is_stricter_than(before) {
-            known.word = word.or_later(before);
+            known.report = word.with_times(before);
         }
-        known.born = if born == 0 { known.born } else { born };
-        let change = LimitChange { before: before.rate, now: known.word.rate };
+        known.incarnation = if born == 0 { known.incarnation } else { born };
+        let change = LimitChange { before: before.rate, now: known.report.rate };
         if change.before == change.now && !is_other_life {
             return None;
         }
@@ -179,16 +180,16 @@
     }
 
     /// What changed a moment ago, to be told on; with `all`, whatever holds as well.
-    pub(super) fn told(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
+    pub(super) fn updates(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
         let ms = |at| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
-        let is_told = |known: &Known| all || now.since(known.changed) < NEWS_LASTS;
+        let is_told = |known: &Entry| all || now.since(known.changed) < GOSSIP_DURATION;
         let told = self.0.iter().filter(|(_, known)| is_told(known));
         let told = told.map(|(id, known)| LimitUpdate {
             server: id.clone(),
-            born: known.born,
-            rate: known.word.rate,
-            asked_ms: ms(known.word.asked),
-            heard_ms: ms(known.word.heard),
+            incarnation: known.incarnation,
+            rate: known.report.rate,
+            sent_ms: ms(known.report.sent),
+            received_ms: ms(known.report.received),
         });
         told.collect()
     }
@@ -196,8 +197,8 @@
     /// Forgets ended limits, and those of servers that are not listed, after a while.
     pub(super) fn expire(&mut self, is_listed: impl Fn(&str) -> bool, now: Uptime) {
         self.0.retain(|id, known| {
-            let holds = known.word.rate.is_some() && is_listed(id);
-            holds || now.since(known.changed.max(known.word.heard)) < KEPT
+            let holds = known.report.rate.is_some() && is_listed(id);
+            holds || now.since(known.changed.max(known.report.received)) < RETENTION
         });
     }
 }
--- a/crates/mastweir-core/src/gateway/retry_policy.rs
+++ b/crates/mastweir-core/src/gateway/retry_policy.rs
@@ -35,11 +35,11 @@
     /// Whether it may run again after it may have run.
     pub repeatable: bool,
     /// Whether an earlier attempt may have run.
-    pub maybe_run: bool,
+    pub may_have_run: bool,
     /// Servers that it may still be sent to.
     pub attempts_left: u32,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// What to do after an attempt.
@@ -57,13 +57,13 @@
 
 /// Least time for which another attempt is begun: a tenth of the smallest
 /// objective on the users' sheets is less than any server needs.
-const RETRY_LEAST: Duration = Duration::from_millis(20);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Decides what follows an attempt.
 pub fn next_action(step: AttemptState, answer: AttemptResult) -> NextAction {
     let not_run = matches!(answer, AttemptResult::NotRun(_));
     let safe = not_run || step.repeatable;
-    if safe && step.attempts_left > 0 && step.left > RETRY_LEAST {
+    if safe && step.attempts_left > 0 && step.time_left > MIN_TIME_LEFT {
         return NextAction::Retry;
     }
     final_action(step, answer)
@@ -72,7 +72,7 @@
 /// The final answer where no further attempt is made.
 pub fn final_action(step: AttemptState, answer: AttemptResult) -> NextAction {
     match answer {
-        AttemptResult::NotRun(_) if step.repeatable || !step.maybe_run => NextAction::EndNotRun,
+        AttemptResult::NotRun(_) if step.repeatable || !step.may_have_run => NextAction::EndNotRun,
         AttemptResult::NotRun(_) | AttemptResult::Broken => NextAction::EndUnknown,
         AttemptResult::Failed => NextAction::Forward,
     }
--- a/crates/mastweir-core/src/gateway/retry_window.rs
+++ b/crates/mastweir-core/src/gateway/retry_window.rs
@@ -12,14 +12,14 @@
 
 /// Gateways among which what all share is split at least. The smallest installations
 /// have seven, of which one may not be known yet.
-pub(super) const GATEWAYS_LEAST: usize = 6;
+pub(super) const MIN_GATEWAYS: usize = 6;
 /// Part of the allowance that is spent. The rest covers gateways that this one
 /// does not know of yet, and windows that end between two counts.
-const SPENT_PART: f64 = 0.8;
+const SPEND_RATIO: f64 = 0.8;
 
 /// Retries that a gateway may always make in its first window: fewer over all gateways
-/// than what `SPENT_PART` leaves of the users' extra, six a gateway and more.
-const YOUNG_ALLOWED: f64 = 1.0;
+/// than what `SPEND_RATIO` leaves of the users' extra, six a gateway and more.
+const STARTUP_RETRIES: f64 = 1.0;
 
 /// Retries of one service at one gateway.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     }
 
     /// A request arrived.
-    pub fn arrived(&mut self, now: Uptime) {
+    pub fn record_request(&mut self, now: Uptime) {
         self.expire(now);
         self.requests.push_back(now);
     }
@@ -48,15 +48,15 @@
     /// known at once; times count from this gateway's start. False if there is none
     /// left.
     #[must_use]
-    pub fn take(&mut self, now: Uptime, others: usize) -> bool {
+    pub fn try_take(&mut self, now: Uptime, others: usize) -> bool {
         self.expire(now);
         let earned = self.ratio * self.requests.len() as f64;
         let is_young = now.since(Uptime::default()) < self.window;
-        let part = self.extra / (others + 1).max(GATEWAYS_LEAST) as f64;
+        let part = self.extra / (others + 1).max(MIN_GATEWAYS) as f64;
         let allowed = if is_young {
-            (SPENT_PART * earned).max(YOUNG_ALLOWED)
+            (SPEND_RATIO * earned).max(STARTUP_RETRIES)
         } else {
-            SPENT_PART * (earned + part)
+            SPEND_RATIO * (earned + part)
         };
         if (self.retries.len() + 1) as f64 > allowed {
             return false;
--- a/crates/mastweir-core/src/gateway/server_notices.rs
+++ b/crates/mastweir-core/src/gateway/server_notices.rs
@@ -13,7 +13,7 @@
 /// What a server said is kept this long after it was last said where the list does not
 /// name it: entries that lapsed in an outage, and other gateways' older lists, are back
 /// within seconds.
-const KEPT_UNLISTED: Duration = Duration::from_secs(60);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Why a server gets no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Notice {
     /// The life that said so; zero if that is not known.
-    born: u64,
+    incarnation: u64,
     /// When it last said something.
-    at: Uptime,
-    leaves: bool,
-    backs_off: Uptime,
+    updated: Uptime,
+    leaving: bool,
+    backoff_until: Uptime,
 }
 
 /// What servers said of themselves, by their ids.
@@ -48,33 +48,34 @@
     }
 
     /// A life of a server says that it leaves; true if that is news.
-    pub(super) fn leaves(&mut self, id: &str, born: u64, now: Uptime) -> bool {
-        !std::mem::replace(&mut self.of_life(id, born, now).leaves, true)
+    pub(super) fn mark_leaving(&mut self, id: &str, born: u64, now: Uptime) -> bool {
+        !std::mem::replace(&mut self.entry(id, born, now).leaving, true)
     }
 
     /// It wants no requests until then. An earlier answer may have asked for longer.
-    pub(super) fn backs_off(&mut self, id: &str, born: u64, until: Uptime, now: Uptime) {
-        let notice = self.of_life(id, born, now);
-        notice.backs_off = notice.backs_off.max(until);
+    pub(super) fn set_backoff(&mut self, id: &str, born: u64, until: Uptime, now: Uptime) {
+        let notice = self.entry(id, born, now);
+        notice.backoff_until = notice.backoff_until.max(until);
     }
 
-    fn of_life(&mut self, id: &str, born: u64, now: Uptime) -> &mut Notice {
+    fn entry(&mut self, id: &str, born: u64, now: Uptime) -> &mut Notice {
         let notice = self.0.entry(id.to_owned()).or_default();
-        if is_other(notice.born, born) {
+        if is_other_incarnation(notice.incarnation, born) {
             *notice = Notice::default();
         }
-        notice.born = notice.born.max(born);
-        notice.at = now;
+        notice.incarnation = notice.incarnation.max(born);
+        notice.updated = now;
         notice
     }
 
     /// Why a life of a server gets no requests, if so.
-    pub(super) fn bar(&self, id: &str, born: u64, now: Uptime) -> Option<Exclusion> {
-        let notice = self.0.get(id).filter(|notice| !is_other(notice.born, born))?;
-        if notice.leaves {
+    pub(super) fn exclusion(&self, id: &str, born: u64, now: Uptime) -> Option<Exclusion> {
+        let notice =
+            self.0.get(id).filter(|notice| !is_other_incarnation(notice.incarnation, born))?;
+        if notice.leaving {
             return Some(Exclusion::Leaving);
         }
-        let left = notice.backs_off.since(now);
+        let left = notice.backoff_until.since(now);
         (!left.is_zero()).then_some(Exclusion::Backoff(left))
     }
 
@@ -82,13 +83,13 @@
     /// holds.
     pub(super) fn expire(&mut self, is_listed: impl Fn(&str) -> bool, now: Uptime) {
         self.0.retain(|id, notice| {
-            let holds = notice.leaves || notice.backs_off > now;
-            holds && (is_listed(id) || now.since(notice.at) < KEPT_UNLISTED)
+            let holds = notice.leaving || notice.backoff_until > now;
+            holds && (is_listed(id) || now.since(notice.updated) < UNLISTED_RETENTION)
         });
     }
 }
 
 /// Whether two names of lives are of different ones, as far as they say.
-pub(super) const fn is_other(known: u64, born: u64) -> bool {
+pub(super) const fn is_other_incarnation(known: u64, born: u64) -> bool {
     known != 0 && born != 0 && known != born
 }
--- a/crates/mastweir-model/src/fleet/words.rs
+++ b/crates/mastweir-model/src/fleet/words.rs
@@ -27,11 +27,11 @@
             PeerInfo { ip: ip(number), hall: hall(number % self.scenario.halls), power: 250 };
         let said = PeerState {
             leaving: false,
-            follows: !gateway.peers.is_speaker(number == 0, now),
-            in_hall: gateway.peers.in_hall(now),
-            in_all: gateway.peers.most(),
+            is_follower: !gateway.peers.is_relay(number == 0, now),
+            hall_size: gateway.peers.hall_size(now),
+            fleet_size: gateway.peers.max_known(),
         };
-        Word::Hello { named, said, asks, known: gateway.peers.known(now) }
+        Word::Hello { named, said, asks, known: gateway.peers.known_peers(now) }
     }
 
     pub(super) fn hello(&mut self, number: usize) {
@@ -39,9 +39,9 @@
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(now_us);
         gateway.peers.expire(now);
-        let greeted = gateway.peers.greeted(gateway.round, &[ip(0)], now);
+        let greeted = gateway.peers.hello_targets(gateway.round, &[ip(0)], now);
         gateway.round += 1;
-        let asks = gateway.peers.asks(now);
+        let asks = gateway.peers.is_isolated(now);
         let hello = self.own_hello(number, asks);
         greeted.into_iter().for_each(|to| self.send(number, to, hello.clone()));
         let next = self.to_gateway(number, At::Hello);
@@ -55,9 +55,9 @@
         if gateway.fleet.has_limits() {
             let peers = &gateway.peers;
             let limited = gateway.fleet.limited();
-            let own = limited.filter(|server| peers.lends(&server.id, &server.hall, now));
-            gateway.lender.tend(own.map(|server| server.id.as_str()), now);
-            let speaks = gateway.peers.is_speaker(number == 0, now);
+            let own = limited.filter(|server| peers.is_issuer(&server.id, &server.hall, now));
+            gateway.lender.set_servers(own.map(|server| server.id.as_str()), now);
+            let speaks = gateway.peers.is_relay(number == 0, now);
             let all = speaks && round.is_multiple_of(AGAIN_ROUNDS);
             let told = gateway.fleet.limits_told(all, now);
             if !told.is_empty() {
@@ -77,7 +77,7 @@
         if !gateway.fleet.has_limits() {
             return;
         }
-        gateway.borrower.want(SERVICE);
+        gateway.borrower.add_demand(SERVICE);
         if !std::mem::replace(&mut gateway.asks, true) {
             let ask = self.to_gateway(number, At::Ask);
             self.after(Duration::from_micros(10), ask);
@@ -88,13 +88,19 @@
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(now_us);
-        let asks = gateway.borrower.ask(&gateway.fleet, &gateway.peers, false, &mut self.rng, now);
+        let asks = gateway.borrower.next_requests(
+            &gateway.fleet,
+            &gateway.peers,
+            false,
+            &mut self.rng,
+            now,
+        );
         gateway.asks = !asks.is_empty();
         if gateway.asks {
             let again = self.to_gateway(number, At::Ask);
             self.after(ASK_EVERY, again);
         }
-        for PermitRequest { lender, number: word, wants } in asks {
+        for PermitRequest { issuer: lender, number: word, wanted: wants } in asks {
             if lender == ip(number) {
                 let loans = self.lend(number, wants);
                 self.lent(number, word, loans);
@@ -112,8 +118,8 @@
         for (server, count) in wants {
             let hall = hall(server_of(&server).unwrap_or(0) % self.scenario.halls);
             let per_s = gateway.fleet.limit(&server).map_or(0.0, |rate| rate.requests());
-            let per_s = per_s * gateway.peers.part(&hall, now);
-            let loan = gateway.lender.lend(&server, per_s, count, now);
+            let per_s = per_s * gateway.peers.limit_share(&hall, now);
+            let loan = gateway.lender.grant(&server, per_s, count, now);
             loans.push((server, loan));
         }
         loans
@@ -123,7 +129,7 @@
         let now_us = self.now_us;
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(now_us);
-        let Some(asked) = gateway.borrower.answered(word, now) else { return };
+        let Some(asked) = gateway.borrower.accept_answer(word, now) else { return };
         for (server, PermitGrant { count, wait }) in loans {
             if count > 0 {
                 gateway.fleet.lent(&server, count, asked + PERMIT_LIFETIME);
@@ -139,8 +145,8 @@
         let now = gateway.clock(now_us);
         match word {
             Word::Hello { named, said, asks, known } => {
-                gateway.peers.heard(named, said, now);
-                known.into_iter().for_each(|named| gateway.peers.named(named, now));
+                gateway.peers.record_hello(named, said, now);
+                known.into_iter().for_each(|named| gateway.peers.record_mention(named, now));
                 if asks {
                     let all = gateway.fleet.limits_told(true, now);
                     let hello = self.own_hello(number, false);
@@ -150,8 +156,8 @@
             }
             Word::Limits(all) => {
                 for limited in all {
-                    let word = limited.word(now);
-                    gateway.fleet.named_limit(&limited.server, limited.born, word, now);
+                    let word = limited.report(now);
+                    gateway.fleet.named_limit(&limited.server, limited.incarnation, word, now);
                 }
             }
             Word::Borrow { number: word, wants } => {
@@ -166,10 +172,10 @@
 /// Whom a gateway tells what servers name: the speakers of its hall, and, as one of them, those
 /// who follow and the other halls' speakers.
 fn hearers(gateway: &Gateway, number: usize, halls: usize, now: Uptime) -> Vec<IpAddr> {
-    let mut hearers = gateway.peers.speakers(&hall(number % halls), now);
-    if gateway.peers.is_speaker(number == 0, now) {
+    let mut hearers = gateway.peers.relays(&hall(number % halls), now);
+    if gateway.peers.is_relay(number == 0, now) {
         hearers.extend(gateway.peers.followers());
-        hearers.extend(gateway.peers.far_speakers(now));
+        hearers.extend(gateway.peers.remote_relays(now));
     }
     hearers.sort_unstable();
     hearers.dedup();
--- a/crates/mastweir-model/src/server.rs
+++ b/crates/mastweir-model/src/server.rs
@@ -31,7 +31,7 @@
 impl Said {
     /// What it says of the limit, to a request that left then.
     pub const fn limit(self, asked: Uptime, heard: Uptime) -> LimitReport {
-        LimitReport { rate: self.rate, asked, heard }
+        LimitReport { rate: self.rate, sent: asked, received: heard }
     }
 }
 
--- a/src/mastweir/entry/attempt.rs
+++ b/src/mastweir/entry/attempt.rs
@@ -97,7 +97,7 @@
                 self.report(shared, &load);
                 // An engine says nothing of its lives; one that ends does so at one moment.
                 let life = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
-                Came { ended: Some(Fingerprint::of_life(&life)), ..Came::bare(Event::Lost) }
+                Came { ended: Some(Fingerprint::of_incarnation(&life)), ..Came::bare(Event::Lost) }
             }
             FromAgent::Rank(_) => Came::bare(Event::Lost),
         }
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -172,7 +172,7 @@
             return false;
         }
         let quarantine = suspects.quarantine(self.order.fingerprint(), now);
-        if let Some(Quarantine { ends, age, .. }) = quarantine {
+        if let Some(Quarantine { crashes: ends, age, .. }) = quarantine {
             slog::info!(self.shared.context.log, "quarantined request refused"; "request" => &self.order.id,
                 "fingerprint" => %self.order.fingerprint(), "ends" => ends,
                 "age_ms" => age.as_millis() as u64);
@@ -246,7 +246,7 @@
         }
         if let Some(life) = came.ended {
             let now = self.shared.context.clock.now();
-            lock(&self.shared.suspects).ended(self.order.fingerprint(), life, now);
+            lock(&self.shared.suspects).record_crash(self.order.fingerprint(), life, now);
         }
         if let Some(spent) = came.spent {
             self.admitted.settle(spent.units);
@@ -327,7 +327,7 @@
         {
             self.signal(&server, Signal::Success);
             let now = self.shared.context.clock.now();
-            lock(&self.shared.suspects).finished(self.order.fingerprint(), now);
+            lock(&self.shared.suspects).record_completed(self.order.fingerprint(), now);
         }
     }
 
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -119,7 +119,7 @@
     let now = shared.context.clock.now();
     let mut suspects = lock(&shared.suspects);
     for suspected in all {
-        if suspects.told(suspected, now) {
+        if suspects.merge(suspected, now) {
             slog::info!(shared.context.log, "request quarantined";
                 "fingerprint" => %suspected.request, "from" => from);
         }
--- a/src/mastweir/entry/heartbeat.rs
+++ b/src/mastweir/entry/heartbeat.rs
@@ -33,8 +33,8 @@
 fn suspected(shared: &Shared) -> Vec<SuspectReport> {
     let now = shared.context.clock.now();
     let suspects = lock(&shared.suspects);
-    let mut suspected = suspects.news(now);
-    suspected.extend(suspects.quarantined(SUSPECTED_SENT, now));
+    let mut suspected = suspects.recent_reports(now);
+    suspected.extend(suspects.quarantined_reports(SUSPECTED_SENT, now));
     suspected.truncate(SUSPECTED_SENT);
     suspected
 }
--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -80,7 +80,7 @@
 
     /// Notes that a server answered it whole.
     pub fn finished(&self, gateway: &Gateway) {
-        gateway.suspects.borrow_mut().finished(self.fingerprint(), self.clock.now());
+        gateway.suspects.borrow_mut().record_completed(self.fingerprint(), self.clock.now());
     }
 
     /// Whether a model's servers serve it.
--- a/src/mastweir/gateway/ending.rs
+++ b/src/mastweir/gateway/ending.rs
@@ -57,10 +57,10 @@
     quarantine: Quarantine,
 ) -> Reply {
     gateway.tally.count("refusals_total", "quarantined");
-    info!(gateway.log, "quarantined request refused"; "id" => &call.head.id, "ends" => quarantine.ends, "proved" => quarantine.proved,
+    info!(gateway.log, "quarantined request refused"; "id" => &call.head.id, "ends" => quarantine.crashes, "proved" => quarantine.confirmed,
         "fingerprint" => %call.fingerprint(), "age_ms" => quarantine.age.as_millis() as u64,
         "tried" => progress.tried.join(","));
-    let back = if quarantine.proved { QUARANTINE_DURATION } else { BACK_PROVED };
+    let back = if quarantine.confirmed { QUARANTINE_DURATION } else { BACK_PROVED };
     end(gateway, call, progress, unsent(progress), back)
 }
 
--- a/src/mastweir/gateway/examine.rs
+++ b/src/mastweir/gateway/examine.rs
@@ -33,8 +33,8 @@
 /// the caller leaves.
 pub async fn broke_off(gateway: &Rc<Gateway>, call: &Call, server: &Candidate) {
     let request = call.fingerprint();
-    let life = Fingerprint::of_life(&server.id);
-    gateway.suspects.borrow_mut().suspect(request, life, gateway.clock.now());
+    let life = Fingerprint::of_incarnation(&server.id);
+    gateway.suspects.borrow_mut().add_suspect(request, life, gateway.clock.now());
     let (is_new, first) = gateway.looks.broke_off(&server.id, request);
     if is_new {
         task::spawn_local(examine(gateway.clone(), server.clone()));
@@ -87,7 +87,7 @@
 fn conclude(gateway: &Rc<Gateway>, server: &Candidate, ended: bool) {
     let requests = gateway.looks.conclude(&server.id);
     let now = gateway.clock.now();
-    let life = Fingerprint::of_life(&server.id);
+    let life = Fingerprint::of_incarnation(&server.id);
     let mut suspects = gateway.suspects.borrow_mut();
     if !ended {
         requests.iter().for_each(|request| suspects.clear(*request, life));
@@ -97,7 +97,7 @@
     info!(gateway.log, "server ended under requests"; "server" => &server.id,
         "requests" => requests.len(), "first" => requests.first().map(Fingerprint::to_string));
     for request in &requests {
-        if suspects.ended(*request, life, now) {
+        if suspects.record_crash(*request, life, now) {
             quarantine::begun(gateway, *request, quarantine::OWN);
         }
     }
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -89,7 +89,9 @@
         }
         "/quarantined" => {
             let now = gateway.clock.now();
-            postcard::to_stdvec(&gateway.suspects.borrow().quarantined(QUARANTINED_SENT, now))
+            postcard::to_stdvec(
+                &gateway.suspects.borrow().quarantined_reports(QUARANTINED_SENT, now),
+            )
         }
         "/group" => {
             let group: String = postcard::from_bytes(body).ok()?;
--- a/src/mastweir/gateway/follow.rs
+++ b/src/mastweir/gateway/follow.rs
@@ -246,12 +246,12 @@
                 ProbeResult::Missed
             }
         };
-        if let Some(doubt) = liveness.probed(probe) {
+        if let Some(doubt) = liveness.record_probe(probe) {
             return doubt;
         }
         if !liveness.is_silent() {
             link.answered();
         }
-        time::sleep(liveness.pause(PROBE_EVERY)).await;
+        time::sleep(liveness.probe_interval(PROBE_EVERY)).await;
     }
 }
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -205,9 +205,9 @@
     let route = call.route();
     AttemptState {
         repeatable: route.repeatable(),
-        maybe_run: progress.runs > 0,
+        may_have_run: progress.runs > 0,
         attempts_left: route.attempts.saturating_sub(progress.runs),
-        left: call.left(),
+        time_left: call.left(),
     }
 }
 
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -21,7 +21,7 @@
 /// A request came for a service.
 pub fn want(gateway: &Gateway, service: &str) {
     if gateway.fleet.borrow().has_limits() {
-        gateway.lending.borrower.borrow_mut().want(service);
+        gateway.lending.borrower.borrow_mut().add_demand(service);
         gateway.lending.wake.notify_one();
     }
 }
@@ -55,7 +55,7 @@
 
 fn ask_once(gateway: &Gateway, socket: &UdpSocket) {
     let now = gateway.clock.now();
-    let asks = gateway.lending.borrower.borrow_mut().ask(
+    let asks = gateway.lending.borrower.borrow_mut().next_requests(
         &gateway.fleet.borrow(),
         &gateway.gateways.borrow(),
         gateway.stopping.get(),
@@ -63,7 +63,7 @@
         now,
     );
     let own = gateway.settings.borrow().ip;
-    for PermitRequest { lender, number, wants } in asks {
+    for PermitRequest { issuer: lender, number, wanted: wants } in asks {
         if lender == own {
             let loans = wants.into_iter().map(|(server, count)| lend(gateway, server, count, own));
             lent(gateway, Lent { number, loans: loans.collect() });
@@ -82,9 +82,9 @@
     let now = gateway.clock.now();
     let (fleet, peers) = (gateway.fleet.borrow(), gateway.gateways.borrow());
     let lends =
-        |server: &Server| !gateway.stopping.get() && peers.lends(&server.id, &server.hall, now);
+        |server: &Server| !gateway.stopping.get() && peers.is_issuer(&server.id, &server.hall, now);
     let tended = fleet.limited().filter(|server| lends(server));
-    gateway.lending.lender.borrow_mut().tend(tended.map(|server| server.id.as_str()), now);
+    gateway.lending.lender.borrow_mut().set_servers(tended.map(|server| server.id.as_str()), now);
 }
 
 /// Lends tokens for a server.
@@ -94,9 +94,9 @@
     let hall = fleet.directory().servers.get(&server).map_or("", |server| server.hall.as_str());
     // One whose limit is not known here yet is lent for as little as possible.
     let per_s = fleet.limit(&server).map_or(0.0, |rate| rate.requests());
-    let part = gateway.gateways.borrow().part(hall, now);
+    let part = gateway.gateways.borrow().limit_share(hall, now);
     let mut lender = gateway.lending.lender.borrow_mut();
-    let PermitGrant { count, wait } = lender.lend(&server, per_s * part, wanted, now);
+    let PermitGrant { count, wait } = lender.grant(&server, per_s * part, wanted, now);
     if count > 0 {
         gateway.tally.count("tokens_total", "lent");
         info!(gateway.log, "tokens lent"; "server" => &server, "wanted" => wanted,
@@ -120,7 +120,7 @@
 /// The answer of one that was asked.
 pub fn lent(gateway: &Gateway, lent: Lent) {
     let now = gateway.clock.now();
-    let asked = gateway.lending.borrower.borrow_mut().answered(lent.number, now);
+    let asked = gateway.lending.borrower.borrow_mut().accept_answer(lent.number, now);
     match asked {
         Some(asked) => take(gateway, lent.loans, asked),
         None => gateway.tally.count("tokens_total", "late"),
--- a/src/mastweir/gateway/limits.rs
+++ b/src/mastweir/gateway/limits.rs
@@ -67,8 +67,8 @@
 pub fn told(gateway: &Gateway, all: &[LimitUpdate]) {
     let now = gateway.clock.now();
     for limited in all {
-        let LimitUpdate { server, born, .. } = limited;
-        let word = limited.word(now);
+        let LimitUpdate { server, incarnation: born, .. } = limited;
+        let word = limited.report(now);
         let change = gateway.fleet.borrow_mut().named_limit(server, *born, word, now);
         if let Some(change) = change {
             log_limit(gateway, server, change, "gateway");
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -46,7 +46,7 @@
             Ok(Message::Report(report)) => relay::reported(&gateway, report),
             Ok(Message::Loads(loads)) => relay::told(&gateway, loads),
             Ok(Message::Pace(pace)) => {
-                let from_sidecar = !gateway.gateways.borrow().knows(from);
+                let from_sidecar = !gateway.gateways.borrow().contains(from);
                 relay::paced(&gateway, &socket, pace, from_sidecar);
             }
             Ok(Message::Suspected(all)) => quarantine::told(&gateway, &all, &from.to_string()),
@@ -69,8 +69,12 @@
     {
         let mut gateways = gateway.gateways.borrow_mut();
         let is = PeerInfo { ip: from, hall, power };
-        gateways.heard(is, PeerState { leaving, follows, in_hall, in_all }, now);
-        known.into_iter().for_each(|named| gateways.named(named, now));
+        gateways.record_hello(
+            is,
+            PeerState { leaving, is_follower: follows, hall_size: in_hall, fleet_size: in_all },
+            now,
+        );
+        known.into_iter().for_each(|named| gateways.record_mention(named, now));
     }
     gateway.heard_config.set(gateway.heard_config.get().max(Some(hello.config)));
     if asks {
@@ -90,7 +94,7 @@
     let other = Versions { config: hello.config, directory: hello.directory };
     // What the store does not bring here has nothing to wait for.
     let at_once = !gateway.is_ready() || !*gateway.watches.borrow();
-    if lag.heard(own, other, at_once, now) {
+    if lag.is_fetch_due(own, other, at_once, now) {
         task::spawn_local(fetch(gateway.clone(), from));
     }
 }
@@ -105,11 +109,11 @@
         config: gateway.version(),
         directory: gateway.fleet.borrow().directory().revision,
         leaving: gateway.stopping.get(),
-        asks: gateways.asks(now),
+        asks: gateways.is_isolated(now),
         follows: !gateway.speaks.get(),
-        in_hall: gateways.in_hall(now),
-        in_all: gateways.most(),
-        known: gateways.known(now),
+        in_hall: gateways.hall_size(now),
+        in_all: gateways.max_known(),
+        known: gateways.known_peers(now),
     }
 }
 
@@ -121,7 +125,7 @@
         take_place(&gateway);
         log_found(&gateway, &mut heard);
         let seeds = gateway.settings.borrow().seeds.clone();
-        let greeted = gateway.gateways.borrow_mut().greeted(round, &seeds, now);
+        let greeted = gateway.gateways.borrow_mut().hello_targets(round, &seeds, now);
         if let Ok(bytes) = postcard::to_stdvec(&Message::Hello(own_hello(&gateway))) {
             greeted.into_iter().for_each(|ip| {
                 send(&gateway, &socket, gateway.internal_addr(ip), &bytes);
@@ -143,7 +147,7 @@
         settings.seeds.contains(&settings.ip)
     };
     let gateways = gateway.gateways.borrow();
-    let (speaks, watches) = (gateways.is_speaker(is_seed, now), gateways.is_watcher(is_seed, now));
+    let (speaks, watches) = (gateways.is_relay(is_seed, now), gateways.is_watcher(is_seed, now));
     let spoke = gateway.speaks.replace(speaks);
     if spoke != speaks {
         gateway.fleet.borrow_mut().hears_sidecars(speaks.then_some(now));
@@ -155,7 +159,7 @@
     });
     if spoke != speaks || watched {
         info!(gateway.log, "place in the hall"; "speaks" => speaks, "watches" => watches,
-            "gateways_heard" => gateways.in_hall(now));
+            "gateways_heard" => gateways.hall_size(now));
     }
 }
 
@@ -163,9 +167,9 @@
 fn log_found(gateway: &Gateway, before: &mut u32) {
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
-    let heard = gateways.in_hall(now);
+    let heard = gateways.hall_size(now);
     if heard > *before {
-        info!(gateway.log, "gateways found"; "in_hall" => heard, "in_all" => gateways.most());
+        info!(gateway.log, "gateways found"; "in_hall" => heard, "in_all" => gateways.max_known());
     }
     *before = heard;
 }
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -31,7 +31,7 @@
 pub fn told(gateway: &Rc<Gateway>, all: &[SuspectReport], from: &str) {
     let now = gateway.clock.now();
     for suspected in all {
-        if gateway.suspects.borrow_mut().told(suspected, now) {
+        if gateway.suspects.borrow_mut().merge(suspected, now) {
             begun(gateway, suspected.request, from);
         }
     }
@@ -53,7 +53,7 @@
 async fn write(gateway: Rc<Gateway>, request: Fingerprint) {
     let mut pause = RETRY_FIRST;
     for _ in 0..WRITES_MAX {
-        let suspected = gateway.suspects.borrow().suspected_of(request, gateway.clock.now());
+        let suspected = gateway.suspects.borrow().report(request, gateway.clock.now());
         let Some(suspected) = suspected else { return };
         match gateway.store.write_quarantine(&suspected).await {
             // Another gateway was first.
@@ -101,7 +101,7 @@
 
 /// Writes what is quarantined here and does not lie in the store.
 async fn write_lost(gateway: &Rc<Gateway>, stored: &[Fingerprint]) {
-    let known = gateway.suspects.borrow().quarantined(WRITTEN_MAX, gateway.clock.now());
+    let known = gateway.suspects.borrow().quarantined_reports(WRITTEN_MAX, gateway.clock.now());
     let lost = known.iter().map(|known| known.request).filter(|known| !stored.contains(known));
     for request in lost {
         write(gateway.clone(), request).await;
@@ -116,7 +116,7 @@
 ) -> Vec<Fingerprint> {
     listed.unread.iter().for_each(|unread| noted.note(gateway, "quarantine", unread));
     let (lapsed, young): (Vec<StoredQuarantine>, Vec<StoredQuarantine>) =
-        listed.items.into_iter().partition(|stored| stored.suspected.has_lapsed());
+        listed.items.into_iter().partition(|stored| stored.suspected.is_expired());
     if !young.is_empty() {
         info!(gateway.log, "quarantine read"; "requests" => young.len(), "lapsed" => lapsed.len(),
             "revision" => %listed.revision);
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -53,7 +53,7 @@
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
     let followers: Vec<IpAddr> = gateways.followers().collect();
-    let far = if gateway.speaks.get() { gateways.far_speakers(now) } else { Vec::new() };
+    let far = if gateway.speaks.get() { gateways.remote_relays(now) } else { Vec::new() };
     drop(gateways);
     let hall = gateway.settings.borrow().hall.clone();
     if !followers.is_empty() {
@@ -134,7 +134,7 @@
         let service = active.config.services.get(&server.service);
         let Some(model) = service.and_then(|service| service.model.clone()) else { continue };
         let hall = server.hall.as_str();
-        let is_others = |hall: &str| hall != own && gateways.is_spoken_for(hall, now);
+        let is_others = |hall: &str| hall != own && gateways.has_enough_relays(hall, now);
         if *spoken_for.entry(hall).or_insert_with(|| is_others(hall)) {
             continue;
         }
@@ -203,7 +203,7 @@
         return;
     }
     let gateways = gateway.gateways.borrow();
-    let far = if from_sidecar { gateways.far_speakers(now) } else { Vec::new() };
+    let far = if from_sidecar { gateways.remote_relays(now) } else { Vec::new() };
     let to: Vec<IpAddr> = gateways.followers().chain(far).collect();
     drop(gateways);
     let Ok(bytes) = postcard::to_stdvec(&Message::Pace(pace)) else { return };
--- a/src/mastweir/gateway/said.rs
+++ b/src/mastweir/gateway/said.rs
@@ -65,7 +65,7 @@
         }
     };
     let now = gateway.clock.now();
-    let word = LimitReport { rate, asked: heard.asked, heard: now };
+    let word = LimitReport { rate, sent: heard.asked, received: now };
     let change = gateway.fleet.borrow_mut().named_limit(id, *born, word, now);
     if let Some(change) = change {
         log_limit(gateway, id, change, "answer");
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -253,14 +253,14 @@
     /// Counts a request of a service.
     pub fn count_request(&self, service: &str) {
         let now = self.clock.now();
-        self.window(service, |window| window.arrived(now));
+        self.window(service, |window| window.record_request(now));
     }
 
     /// Takes a retry out of the service's budget.
     pub fn take_retry(&self, service: &str) -> bool {
         let now = self.clock.now();
-        let others = self.gateways.borrow().most() as usize - 1;
-        self.window(service, |window| window.take(now, others))
+        let others = self.gateways.borrow().max_known() as usize - 1;
+        self.window(service, |window| window.try_take(now, others))
     }
 
     fn window<T>(&self, service: &str, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -150,7 +150,7 @@
     }
 
     fn note_event(&mut self) {
-        if !self.pauses.event(self.gateway.clock.now()) {
+        if !self.pauses.record_event(self.gateway.clock.now()) {
             return;
         }
         let Some(source) = &self.source else { return };
@@ -162,14 +162,14 @@
     fn log_pace(&self, end: &'static str) {
         let route = self.call.route();
         let objective = Duration::from_millis(route.objective_ms);
-        let first = self.pauses.to_first();
+        let first = self.pauses.time_to_first();
         let late = match first {
             Some(first) if first > objective => "first event",
-            _ if self.pauses.longest() > Duration::from_millis(route.gap_ms) => "pause",
+            _ if self.pauses.longest_gap() > Duration::from_millis(route.gap_ms) => "pause",
             _ => "no",
         };
         self.gateway.tally.count("streams_late_total", late);
-        self.gateway.tally.observe("stream_pause_seconds", self.pauses.longest());
+        self.gateway.tally.observe("stream_pause_seconds", self.pauses.longest_gap());
         first
             .into_iter()
             .for_each(|first| self.gateway.tally.observe("first_event_seconds", first));
@@ -178,8 +178,8 @@
             "end" => end, "route" => &route.name,
             "waited_ms" => self.progress.waited.map(|waited| waited.as_millis() as u64),
             "first_ms" => first.map(|first| first.as_millis() as u64),
-            "pause_ms" => self.pauses.longest().as_millis() as u64,
-            "pause_at_ms" => self.pauses.longest_after().as_millis() as u64,
+            "pause_ms" => self.pauses.longest_gap().as_millis() as u64,
+            "pause_at_ms" => self.pauses.longest_gap_end().as_millis() as u64,
             "server" => self.progress.tried.last(),
             "group" => slowest.and_then(|told| told.group.clone()),
             "pass" => slowest.map(|told| told.pass), "pass_ms" => slowest.map(|told| told.pass_ms),
--- a/src/mastweir/gateway/suspects.rs
+++ b/src/mastweir/gateway/suspects.rs
@@ -34,9 +34,9 @@
 fn tell_once(gateway: &Gateway, socket: &UdpSocket, with_quarantined: bool) {
     let now = gateway.clock.now();
     let suspects = gateway.suspects.borrow();
-    let mut told = suspects.news(now);
+    let mut told = suspects.recent_reports(now);
     if with_quarantined && gateway.speaks.get() {
-        told.extend(suspects.quarantined(SUSPECTED_SENT, now));
+        told.extend(suspects.quarantined_reports(SUSPECTED_SENT, now));
     }
     drop(suspects);
     if told.is_empty() {
@@ -55,10 +55,10 @@
     let now = gateway.clock.now();
     let settings = gateway.settings.borrow();
     let gateways = gateway.gateways.borrow();
-    let mut hearers = gateways.speakers(&settings.hall, now);
+    let mut hearers = gateways.relays(&settings.hall, now);
     if gateway.speaks.get() {
         hearers.extend(gateways.followers());
-        hearers.extend(gateways.far_speakers(now));
+        hearers.extend(gateways.remote_relays(now));
     }
     hearers.sort_unstable();
     hearers.dedup();
--- a/src/mastweir/objects/liveness.rs
+++ b/src/mastweir/objects/liveness.rs
@@ -12,14 +12,14 @@
 pub async fn outage(platform: &Platform, collection: Collection, every: Duration, log: &Logger) {
     let mut liveness = Liveness::default();
     loop {
-        time::sleep(liveness.pause(every)).await;
+        time::sleep(liveness.probe_interval(every)).await;
         let answered = time::timeout(PROBE_TIMEOUT, platform.probe(collection)).await;
         let probe = if matches!(answered, Ok(Ok(()))) {
             ProbeResult::Unchanged
         } else {
             ProbeResult::Missed
         };
-        if liveness.probed(probe).is_some() {
+        if liveness.record_probe(probe).is_some() {
             info!(log, "watch given up behind an outage"; "collection" => collection.as_str());
             return;
         }
--- a/src/mastweir/platform/quarantine.rs
+++ b/src/mastweir/platform/quarantine.rs
@@ -43,8 +43,8 @@
 /// It can't be written as JSON.
 pub fn body(suspected: &SuspectReport) -> serde_json::Result<Value> {
     serde_json::to_value(QuarantineSpec {
-        ends: suspected.ends.iter().map(Fingerprint::to_string).collect(),
-        finished: suspected.finished,
+        ends: suspected.crashes.iter().map(Fingerprint::to_string).collect(),
+        finished: suspected.completed,
         written_s: now_s(),
     })
 }
@@ -60,8 +60,8 @@
     let age = Duration::from_secs(now_s().saturating_sub(spec.written_s));
     let suspected = SuspectReport {
         request: fingerprint(name)?,
-        ends: ends?,
-        finished: spec.finished,
+        crashes: ends?,
+        completed: spec.finished,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     };
     Ok(StoredQuarantine { suspected, revision })
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -147,7 +147,7 @@
     let now = sidecar.clock.now();
     // One that is leaving still serves: without reports it would take all servers for
     // lost, and cut its last streams. It is forgotten when it says no more.
-    if sidecar.speakers.borrow_mut().heard(from, now) {
+    if sidecar.speakers.borrow_mut().refresh(from, now) {
         info!(sidecar.log, "speaker found"; "peer" => %from);
     }
     if greeting.model.is_some() {
--- a/tests/testsuite/fuzz_eras.rs
+++ b/tests/testsuite/fuzz_eras.rs
@@ -195,7 +195,7 @@
         let has = self.fleets[to].directory().revision;
         let (own, other) = (has, self.fleets[from].directory().revision);
         let versions = |directory| Versions { config: 0, directory };
-        let is_due = self.lags[to].heard(versions(own), versions(other), true, self.now);
+        let is_due = self.lags[to].is_fetch_due(versions(own), versions(other), true, self.now);
         let arrives = if late { self.late[to].take() } else { None };
         if is_due && from != to {
             let change = self.fleets[from].changes_since(has);
--- a/tests/testsuite/gateway_core.rs
+++ b/tests/testsuite/gateway_core.rs
@@ -89,9 +89,9 @@
 fn a_call_that_may_run_once_is_tried_again_only_on_proof() {
     let step = |repeatable, attempts_left| AttemptState {
         repeatable,
-        maybe_run: false,
+        may_have_run: false,
         attempts_left,
-        left: Duration::from_secs(1),
+        time_left: Duration::from_secs(1),
     };
     for proof in [Proof::NeverSent, Proof::Refused, Proof::WrongServer] {
         expect_that!(
@@ -107,12 +107,12 @@
     expect_that!(next_action(step(false, 1), AttemptResult::Failed), eq(NextAction::Forward));
     expect_that!(next_action(step(true, 1), AttemptResult::Broken), eq(NextAction::Retry));
     // Refused after it may have run: nobody may say that it has not.
-    let after = AttemptState { maybe_run: true, ..step(false, 0) };
+    let after = AttemptState { may_have_run: true, ..step(false, 0) };
     expect_that!(
         next_action(after, AttemptResult::NotRun(Proof::Refused)),
         eq(NextAction::EndUnknown)
     );
-    let late = AttemptState { left: Duration::ZERO, ..step(true, 1) };
+    let late = AttemptState { time_left: Duration::ZERO, ..step(true, 1) };
     expect_that!(next_action(late, AttemptResult::Broken), eq(NextAction::EndUnknown));
 }
 
@@ -124,9 +124,9 @@
     for ms in (0..60_000).step_by(10) {
         let now = Uptime::from_millis(ms);
         if ms % 100 == 0 {
-            window.arrived(now);
+            window.record_request(now);
         }
-        if window.take(now, 6) {
+        if window.try_take(now, 6) {
             taken.push(ms);
         }
     }
@@ -152,9 +152,9 @@
             let others = if ms < 2_000 { 0 } else { GATEWAYS - 1 };
             let counts = life_ms - ms <= 5_000;
             for window in &mut windows {
-                window.arrived(now);
+                window.record_request(now);
                 requests += usize::from(counts);
-                let taken = (0..3).filter(|_| window.take(now, others)).count();
+                let taken = (0..3).filter(|_| window.try_take(now, others)).count();
                 retries += if counts { taken } else { 0 };
             }
         }
@@ -184,14 +184,14 @@
 fn a_stream_is_told_by_its_first_event_and_its_longest_pause() {
     let at = |ms: u64| Uptime::from_secs(5) + Duration::from_millis(ms);
     let mut pauses = StreamTiming::new(at(0), Duration::from_millis(40));
-    expect_that!(pauses.to_first(), none());
+    expect_that!(pauses.time_to_first(), none());
     // The wait for the first event is no pause.
-    expect_that!(pauses.event(at(300)), eq(false));
-    let longest: Vec<bool> = [360, 480, 500].map(|ms| pauses.event(at(ms))).to_vec();
+    expect_that!(pauses.record_event(at(300)), eq(false));
+    let longest: Vec<bool> = [360, 480, 500].map(|ms| pauses.record_event(at(ms))).to_vec();
     expect_that!(longest, elements_are![eq(&true), eq(&true), eq(&false)]);
-    expect_that!(pauses.to_first(), some(eq(Duration::from_millis(340))));
-    expect_that!(pauses.longest(), eq(Duration::from_millis(120)));
-    expect_that!(pauses.longest_after(), eq(Duration::from_millis(520)));
+    expect_that!(pauses.time_to_first(), some(eq(Duration::from_millis(340))));
+    expect_that!(pauses.longest_gap(), eq(Duration::from_millis(120)));
+    expect_that!(pauses.longest_gap_end(), eq(Duration::from_millis(520)));
 }
 
 /// Half of the engine's work for tokens is done by experts here.
@@ -224,22 +224,22 @@
     let ms = Uptime::from_millis;
     let mut lag = Lag::default();
     // The store brings version 2 a moment later than another gateway tells of it.
-    expect_that!(lag.heard(at(1, 5), at(2, 5), false, ms(0)), eq(false));
-    expect_that!(lag.heard(at(2, 5), at(2, 5), false, ms(250)), eq(false));
-    expect_that!(lag.heard(at(2, 5), at(3, 5), false, ms(9_000)), eq(false));
+    expect_that!(lag.is_fetch_due(at(1, 5), at(2, 5), false, ms(0)), eq(false));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(2, 5), false, ms(250)), eq(false));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(3, 5), false, ms(9_000)), eq(false));
     // Others that are no further, and newer ones all the while, don't begin it anew.
-    expect_that!(lag.heard(at(2, 5), at(2, 5), false, ms(9_100)), eq(false));
-    expect_that!(lag.heard(at(2, 5), at(4, 6), false, ms(9_200)), eq(false));
-    expect_that!(lag.heard(at(2, 5), at(4, 6), false, ms(9_350)), eq(true));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(2, 5), false, ms(9_100)), eq(false));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_200)), eq(false));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_350)), eq(true));
     // It is fetched once, and again if that did not help.
-    expect_that!(lag.heard(at(2, 5), at(4, 6), false, ms(9_400)), eq(false));
-    expect_that!(lag.heard(at(2, 5), at(4, 6), false, ms(9_750)), eq(true));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_400)), eq(false));
+    expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_750)), eq(true));
     // A list of servers counts like a configuration; one who knows nothing does not wait.
-    expect_that!(lag.heard(at(4, 5), at(4, 6), false, ms(9_800)), eq(false));
+    expect_that!(lag.is_fetch_due(at(4, 5), at(4, 6), false, ms(9_800)), eq(false));
     let mut lag = Lag::default();
-    expect_that!(lag.heard(at(0, 0), at(4, 6), true, ms(9_900)), eq(true));
-    expect_that!(lag.heard(at(0, 0), at(4, 6), true, ms(9_910)), eq(false));
-    expect_that!(lag.heard(at(0, 0), at(4, 6), true, ms(10_250)), eq(true));
+    expect_that!(lag.is_fetch_due(at(0, 0), at(4, 6), true, ms(9_900)), eq(true));
+    expect_that!(lag.is_fetch_due(at(0, 0), at(4, 6), true, ms(9_910)), eq(false));
+    expect_that!(lag.is_fetch_due(at(0, 0), at(4, 6), true, ms(10_250)), eq(true));
 }
 
 #[googletest::test]
--- a/tests/testsuite/lending.rs
+++ b/tests/testsuite/lending.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use mastweir_core::{
     gateway::{
-        Exclusion, Fleet, HANDOVER, LimitReport, Needs, PermitGrant, PermitIssuer, Rate, Refusal,
-        ServerState, Stream, Told,
+        Exclusion, Fleet, HANDOVER_DELAY, LimitReport, Needs, PermitGrant, PermitIssuer, Rate,
+        Refusal, ServerState, Stream, Told,
     },
     time::Uptime,
 };
@@ -60,11 +60,12 @@
                 continue;
             }
             let peers = &self.world.peers[number];
-            let own = ids.iter().filter(|id| peers.lends(id, &hall, now));
-            self.lenders[number].tend(own.map(String::as_str), now);
-            let per_s = self.per_s * peers.part(&hall, now);
+            let own = ids.iter().filter(|id| peers.is_issuer(id, &hall, now));
+            self.lenders[number].set_servers(own.map(String::as_str), now);
+            let per_s = self.per_s * peers.limit_share(&hall, now);
             for (id, lent) in ids.iter().zip(&mut self.lent) {
-                let PermitGrant { count, .. } = self.lenders[number].lend(id, per_s, u32::MAX, now);
+                let PermitGrant { count, .. } =
+                    self.lenders[number].grant(id, per_s, u32::MAX, now);
                 lent.push_back((now, count));
             }
         }
@@ -117,33 +118,33 @@
     world.cut = Some(0);
     world.run(10);
     let (hall, now) = (hall_name(0), world.now);
-    let parts: Vec<f64> = world.peers.iter().map(|peers| peers.part(&hall, now)).collect();
+    let parts: Vec<f64> = world.peers.iter().map(|peers| peers.limit_share(&hall, now)).collect();
     expect_that!(parts, each(approx_eq(1.0 / 3.0)));
     // The fourth of each hall follows, and lends nothing.
     for (number, peers) in world.peers.iter().enumerate().take(9) {
-        let lenders = peers.lenders(&hall, now);
+        let lenders = peers.issuers(&hall, now);
         let own = (0..12).filter(|other| other % 3 == number % 3).map(ip);
         expect_that!(lenders.iter().all(|ip| own.clone().any(|own| own == *ip)), eq(true));
     }
     world.cut = None;
     world.run(10);
     let (near, far) = (&world.peers[0], &world.peers[1]);
-    expect_that!(near.part(&hall, world.now), approx_eq(1.0));
-    expect_that!(near.lenders(&hall, world.now), eq(&far.lenders(&hall, world.now)));
+    expect_that!(near.limit_share(&hall, world.now), approx_eq(1.0));
+    expect_that!(near.issuers(&hall, world.now), eq(&far.issuers(&hall, world.now)));
 }
 
 /// One that stands still, and goes on, has saved up no more than before.
 #[googletest::test]
 fn a_lender_that_stood_still_lends_what_it_had() {
     let mut lender = PermitIssuer::default();
-    lender.tend(["a"].into_iter(), at(0));
-    expect_that!(lender.lend("a", 10.0, 9, at(2_999)).count, eq(0));
-    let begun = at(0) + HANDOVER;
-    expect_that!(lender.lend("a", 10.0, 9, begun).count, eq(0));
-    expect_that!(lender.lend("a", 10.0, 9, begun + ROUND * 4).count, eq(3));
-    expect_that!(lender.lend("a", 10.0, 99, begun + ROUND * 400).count, eq(3));
+    lender.set_servers(["a"].into_iter(), at(0));
+    expect_that!(lender.grant("a", 10.0, 9, at(2_999)).count, eq(0));
+    let begun = at(0) + HANDOVER_DELAY;
+    expect_that!(lender.grant("a", 10.0, 9, begun).count, eq(0));
+    expect_that!(lender.grant("a", 10.0, 9, begun + ROUND * 4).count, eq(3));
+    expect_that!(lender.grant("a", 10.0, 99, begun + ROUND * 400).count, eq(3));
     // For one that it does not lend, whoever asks is sent on.
-    let elsewhere = lender.lend("b", 10.0, 1, begun);
+    let elsewhere = lender.grant("b", 10.0, 1, begun);
     expect_that!(elsewhere.count, eq(0));
     expect_that!(elsewhere.wait, gt(Duration::ZERO));
 }
@@ -152,13 +153,13 @@
 #[googletest::test]
 fn those_who_find_nothing_come_back_one_behind_the_other() {
     let mut lender = PermitIssuer::default();
-    lender.tend(["a"].into_iter(), at(0));
-    let wait = |lender: &mut PermitIssuer, ms| lender.lend("a", 2.0, 1, at(ms)).wait.as_millis();
+    lender.set_servers(["a"].into_iter(), at(0));
+    let wait = |lender: &mut PermitIssuer, ms| lender.grant("a", 2.0, 1, at(ms)).wait.as_millis();
     let waits: Vec<u128> = (0..4).map(|_| wait(&mut lender, 3_100)).collect();
     expect_that!(waits, elements_are![eq(&400), eq(&900), eq(&1_400), eq(&1_900)]);
-    expect_that!(lender.lend("a", 2.0, 1, at(3_500)).count, eq(1));
+    expect_that!(lender.grant("a", 2.0, 1, at(3_500)).count, eq(1));
     // A server that takes none is asked now and then all the same: an end is only answered.
-    let least = (0..60).map(|s| lender.lend("a", 0.0, 1, at(60_000 + s * 1_000)).count);
+    let least = (0..60).map(|s| lender.grant("a", 0.0, 1, at(60_000 + s * 1_000)).count);
     expect_that!(least.sum::<u32>(), eq(3));
 }
 
@@ -171,7 +172,7 @@
 
 fn limit(fleet: &mut Fleet, id: &str, per_s: Option<f64>, ms: u64) {
     let rate = per_s.and_then(Rate::per_second);
-    let word = LimitReport { rate, asked: at(ms - 10), heard: at(ms) };
+    let word = LimitReport { rate, sent: at(ms - 10), received: at(ms) };
     fleet.named_limit(id, 0, word, at(ms));
 }
 
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -143,10 +143,10 @@
         (0..LIMITS_SENT)
             .map(|at| LimitUpdate {
                 server: id(at),
-                born: 1_790_000_000_000,
+                incarnation: 1_790_000_000_000,
                 rate: Rate::per_second(1e9),
-                asked_ms: 4_000_000,
-                heard_ms: 4_000_000,
+                sent_ms: 4_000_000,
+                received_ms: 4_000_000,
             })
             .collect(),
     );
--- a/tests/testsuite/peers.rs
+++ b/tests/testsuite/peers.rs
@@ -84,13 +84,13 @@
         let named = named(from, self.halls);
         let said = PeerState {
             leaving: false,
-            follows: !sender.is_speaker(self.is_seed(from), now),
-            in_hall: sender.in_hall(now),
-            in_all: sender.most(),
+            is_follower: !sender.is_relay(self.is_seed(from), now),
+            hall_size: sender.hall_size(now),
+            fleet_size: sender.max_known(),
         };
-        let known = sender.known(now);
-        self.peers[to].heard(named, said, now);
-        known.into_iter().for_each(|named| self.peers[to].named(named, now));
+        let known = sender.known_peers(now);
+        self.peers[to].record_hello(named, said, now);
+        known.into_iter().for_each(|named| self.peers[to].record_mention(named, now));
         true
     }
 
@@ -104,8 +104,8 @@
                 continue;
             }
             self.peers[from].expire(self.now);
-            let asks = self.peers[from].asks(self.now);
-            let greeted = self.peers[from].greeted(self.round, &seeds, self.now);
+            let asks = self.peers[from].is_isolated(self.now);
+            let greeted = self.peers[from].hello_targets(self.round, &seeds, self.now);
             for to in greeted {
                 let Some(to) = (0..self.peers.len()).find(|number| ip(*number) == to) else {
                     continue;
@@ -130,7 +130,7 @@
                 .filter(|at| self.alive[*at] && self.hall(*at) == hall && is(*at))
                 .count()
         };
-        let speaks = |at: usize| self.peers[at].is_speaker(self.is_seed(at), self.now);
+        let speaks = |at: usize| self.peers[at].is_relay(self.is_seed(at), self.now);
         let watches = |at: usize| self.peers[at].is_watcher(self.is_seed(at), self.now);
         (0..self.halls).map(|hall| (count(hall, &speaks), count(hall, &watches))).collect()
     }
@@ -146,7 +146,7 @@
             self.peers[at].followers().for_each(|ip| *told.entry(ip).or_default() += 1);
         }
         (0..self.peers.len()).filter(|at| self.alive[*at]).all(|at| {
-            self.peers[at].is_speaker(self.is_seed(at), self.now) || told.contains_key(&ip(at))
+            self.peers[at].is_relay(self.is_seed(at), self.now) || told.contains_key(&ip(at))
         })
     }
 }
@@ -175,7 +175,7 @@
         // A speaker tells its hall and the other halls' speakers, others three speakers.
         let hall = gateways.div_ceil(halls);
         expect_that!(world.most_sent(), le(hall + 3 * halls + 4), "{gateways} gateways");
-        let fewest = world.peers.iter().map(Peers::most).min().unwrap_or(0);
+        let fewest = world.peers.iter().map(Peers::max_known).min().unwrap_or(0);
         expect_that!(fewest as usize, all!(ge(gateways * 9 / 10), le(gateways)));
     }
 }
@@ -196,7 +196,7 @@
     // The dead are named by nobody, and forgotten in the end.
     world.run(40);
     let names_dead = |peers: &Peers| {
-        peers.known(world.now).iter().any(|named| dead.iter().any(|at| ip(*at) == named.ip))
+        peers.known_peers(world.now).iter().any(|named| dead.iter().any(|at| ip(*at) == named.ip))
     };
     expect_that!(world.peers.iter().skip(15).any(names_dead), eq(false));
     let places = world.places();
@@ -214,8 +214,8 @@
     world.cut = None;
     world.run(4);
     for at in 0..38 {
-        let far = world.peers[at].far_speakers(world.now).len();
-        if world.peers[at].is_speaker(world.is_seed(at), world.now) {
+        let far = world.peers[at].remote_relays(world.now).len();
+        if world.peers[at].is_relay(world.is_seed(at), world.now) {
             expect_that!(far, eq(6), "gateway {at}");
         }
     }
@@ -225,15 +225,15 @@
 fn gateways_that_fell_silent_still_count_for_the_shared_retries() {
     let own = PeerInfo { ip: ip(0), hall: hall_name(0), power: 1 };
     let mut peers = Peers::new(own);
-    let said = PeerState { leaving: false, follows: true, in_hall: 1, in_all: 1 };
+    let said = PeerState { leaving: false, is_follower: true, hall_size: 1, fleet_size: 1 };
     for number in 1..=20 {
         let named = PeerInfo { ip: ip(number), hall: hall_name(0), power: 1 };
-        peers.heard(named, said, Uptime::default());
+        peers.record_hello(named, said, Uptime::default());
     }
     let later = Uptime::from_secs(30);
     peers.expire(later);
-    expect_that!(peers.in_hall(later), eq(1));
-    expect_that!(peers.most(), eq(21));
+    expect_that!(peers.hall_size(later), eq(1));
+    expect_that!(peers.max_known(), eq(21));
 }
 
 /// Symptom: 13 streams of one gateway left their servers in other halls at once, though
@@ -245,22 +245,23 @@
 fn one_that_still_takes_itself_for_a_speaker_is_told_on() {
     let named =
         |number: usize, hall: &str| PeerInfo { ip: ip(number), hall: hall.into(), power: 9 };
-    let said = |follows| PeerState { leaving: false, follows, in_hall: 4, in_all: 5 };
+    let said =
+        |follows| PeerState { leaving: false, is_follower: follows, hall_size: 4, fleet_size: 5 };
     let mut far = Peers::new(named(9, "north"));
     let mut now = Uptime::from_secs(10);
     for number in [1, 2, 3] {
-        far.heard(named(number, "south"), said(false), now);
+        far.record_hello(named(number, "south"), said(false), now);
     }
-    expect_that!(far.far_speakers(now), unordered_elements_are![&ip(1), &ip(2), &ip(3)]);
-    far.heard(named(0, "south"), said(false), now);
-    expect_that!(far.far_speakers(now), contains(eq(&ip(3))));
-    expect_that!(far.far_speakers(now).len(), eq(4));
+    expect_that!(far.remote_relays(now), unordered_elements_are![&ip(1), &ip(2), &ip(3)]);
+    far.record_hello(named(0, "south"), said(false), now);
+    expect_that!(far.remote_relays(now), contains(eq(&ip(3))));
+    expect_that!(far.remote_relays(now).len(), eq(4));
     // It has heard of the other, and follows.
-    far.heard(named(3, "south"), said(true), now);
-    expect_that!(far.far_speakers(now), not(contains(eq(&ip(3)))));
+    far.record_hello(named(3, "south"), said(true), now);
+    expect_that!(far.remote_relays(now), not(contains(eq(&ip(3)))));
     // One that is heard no more is told no more.
     now = now + Duration::from_secs(1);
-    far.heard(named(4, "south"), said(false), now);
+    far.record_hello(named(4, "south"), said(false), now);
     far.expire(now + Duration::from_secs(1));
-    expect_that!(far.far_speakers(now + Duration::from_secs(1)), not(contains(eq(&ip(4)))));
+    expect_that!(far.remote_relays(now + Duration::from_secs(1)), not(contains(eq(&ip(4)))));
 }
--- a/tests/testsuite/rate_limits.rs
+++ b/tests/testsuite/rate_limits.rs
@@ -27,7 +27,7 @@
 
 /// An answer that came `ms` after the start, to a request that left 100 ms before.
 fn word(per_s: Option<f64>, ms: u64) -> LimitReport {
-    LimitReport { rate: per_s.and_then(rate), asked: at(ms - 100), heard: at(ms) }
+    LimitReport { rate: per_s.and_then(rate), sent: at(ms - 100), received: at(ms) }
 }
 
 fn heard(fleet: &mut Fleet, per_s: Option<f64>, ms: u64) -> Option<LimitChange> {
@@ -80,12 +80,12 @@
     heard(&mut fleet, None, 2_000);
     let told = |rate, asked_ms, heard_ms| LimitUpdate {
         server: "a".to_owned(),
-        born: 0,
+        incarnation: 0,
         rate,
-        asked_ms,
-        heard_ms,
+        sent_ms: asked_ms,
+        received_ms: heard_ms,
     };
-    let mut takes = |told: LimitUpdate, ms| fleet.named_limit("a", 0, told.word(at(ms)), at(ms));
+    let mut takes = |told: LimitUpdate, ms| fleet.named_limit("a", 0, told.report(at(ms)), at(ms));
     // What that gateway heard before the end.
     expect_that!(takes(told(rate(2.0), 1_600, 1_500), 2_500), none());
     // What it heard behind it.
@@ -116,7 +116,7 @@
     let news = fleet.named_limit("a", 40, word(Some(1.0), 9_000), at(9_000));
     expect_that!(news, eq(change(Some(1.0), Some(1.0))));
     let told = fleet.limits_told(false, at(9_100));
-    expect_that!(told.iter().map(|told| told.born).collect::<Vec<_>>(), eq(&vec![40]));
+    expect_that!(told.iter().map(|told| told.incarnation).collect::<Vec<_>>(), eq(&vec![40]));
 }
 
 /// What is told on is what the other needs to hold the same.
@@ -129,7 +129,7 @@
     expect_that!(one.limits_told(false, at(9_000)), is_empty());
     expect_that!(one.limits_told(true, at(9_000)), len(eq(1)));
     for limited in news {
-        let word = limited.word(at(5_000));
+        let word = limited.report(at(5_000));
         expect_that!(other.named_limit("a", 0, word, at(5_000)), eq(change(None, Some(0.5))));
     }
 }
--- a/tests/testsuite/suspects.rs
+++ b/tests/testsuite/suspects.rs
@@ -15,7 +15,7 @@
 const SUSPECT: Fingerprint = Fingerprint(1);
 
 fn life(number: u64) -> Fingerprint {
-    Fingerprint::of_life(&format!("i-{number}"))
+    Fingerprint::of_incarnation(&format!("i-{number}"))
 }
 
 fn at(millis: u64) -> Uptime {
@@ -44,11 +44,11 @@
 #[googletest::test]
 fn two_servers_that_ended_hold_a_request_back_and_one_does_not() {
     let mut suspects = PoisonRequests::default();
-    expect_that!(suspects.ended(SUSPECT, life(1), at(0)), eq(false));
-    expect_that!(suspects.ended(SUSPECT, life(1), at(1)), eq(false));
+    expect_that!(suspects.record_crash(SUSPECT, life(1), at(0)), eq(false));
+    expect_that!(suspects.record_crash(SUSPECT, life(1), at(1)), eq(false));
     expect_that!(suspects.quarantine(SUSPECT, at(2)), none());
-    expect_that!(suspects.ended(SUSPECT, life(2), at(3)), eq(true));
-    expect_that!(suspects.quarantine(SUSPECT, at(4)).map(|hold| hold.ends), some(eq(2)));
+    expect_that!(suspects.record_crash(SUSPECT, life(2), at(3)), eq(true));
+    expect_that!(suspects.quarantine(SUSPECT, at(4)).map(|hold| hold.crashes), some(eq(2)));
     expect_that!(suspects.quarantine(Fingerprint(2), at(4)), none());
 }
 
@@ -57,45 +57,48 @@
 fn servers_that_live_on_make_no_suspects() {
     let mut suspects = PoisonRequests::default();
     for number in 0..5 {
-        suspects.suspect(SUSPECT, life(number), at(number));
+        suspects.add_suspect(SUSPECT, life(number), at(number));
         suspects.clear(SUSPECT, life(number));
     }
     expect_that!(suspects.quarantine(SUSPECT, at(9)), none());
     expect_that!(suspects.is_empty(), eq(true));
     // Until that is known it is not sent to a third.
-    suspects.suspect(SUSPECT, life(8), at(10));
-    suspects.suspect(SUSPECT, life(9), at(10));
+    suspects.add_suspect(SUSPECT, life(8), at(10));
+    suspects.add_suspect(SUSPECT, life(9), at(10));
     let quarantine = suspects.quarantine(SUSPECT, at(11));
-    expect_that!(quarantine.map(|quarantine| quarantine.proved), some(eq(false)));
-    expect_that!(suspects.news(at(11)), is_empty());
+    expect_that!(quarantine.map(|quarantine| quarantine.confirmed), some(eq(false)));
+    expect_that!(suspects.recent_reports(at(11)), is_empty());
 }
 
 /// What is often asked runs at many servers, of which a hall's may all end at once.
 #[googletest::test]
 fn a_request_that_was_answered_is_held_back_only_behind_many_ends() {
     let mut suspects = PoisonRequests::default();
-    suspects.finished(SUSPECT, at(0));
+    suspects.record_completed(SUSPECT, at(0));
     for number in 0..7 {
-        expect_that!(suspects.ended(SUSPECT, life(number), at(number)), eq(false));
+        expect_that!(suspects.record_crash(SUSPECT, life(number), at(number)), eq(false));
     }
     expect_that!(suspects.quarantine(SUSPECT, at(8)), none());
-    expect_that!(suspects.ended(SUSPECT, life(7), at(9)), eq(true));
+    expect_that!(suspects.record_crash(SUSPECT, life(7), at(9)), eq(true));
     // Another gateway's word that it was answered counts as much.
     let mut other = PoisonRequests::default();
-    other.ended(SUSPECT, life(8), at(0));
+    other.record_crash(SUSPECT, life(8), at(0));
     let ends = vec![life(9)];
-    other.told(&SuspectReport { request: SUSPECT, ends, finished: true, age_ms: 0 }, at(1));
+    other.merge(
+        &SuspectReport { request: SUSPECT, crashes: ends, completed: true, age_ms: 0 },
+        at(1),
+    );
     expect_that!(other.quarantine(SUSPECT, at(2)), none());
 }
 
 #[googletest::test]
 fn a_request_is_forgotten_once_nobody_has_asked_for_long() {
     let mut suspects = PoisonRequests::default();
-    suspects.ended(SUSPECT, life(1), at(0));
-    suspects.ended(SUSPECT, life(2), at(0));
+    suspects.record_crash(SUSPECT, life(1), at(0));
+    suspects.record_crash(SUSPECT, life(2), at(0));
     let half = at(0) + QUARANTINE_DURATION / 2;
     expect_that!(suspects.quarantine(SUSPECT, half), some(anything()));
-    let told = suspects.quarantined(9, half + QUARANTINE_DURATION / 2);
+    let told = suspects.quarantined_reports(9, half + QUARANTINE_DURATION / 2);
     suspects.expire(at(0) + QUARANTINE_DURATION);
     expect_that!(suspects.is_empty(), eq(false));
     suspects.expire(half + QUARANTINE_DURATION);
@@ -103,13 +106,13 @@
     // What others tell has the age of the last attempt, so it is not kept up for ever.
     let mut other = PoisonRequests::default();
     for suspected in &told {
-        other.told(suspected, at(0) + QUARANTINE_DURATION);
+        other.merge(suspected, at(0) + QUARANTINE_DURATION);
     }
     expect_that!(other.quarantine(SUSPECT, at(1) + QUARANTINE_DURATION), some(anything()));
     let mut late = PoisonRequests::default();
     told.iter().for_each(|suspected| {
         let age_ms = suspected.age_ms * 2;
-        late.told(&SuspectReport { age_ms, ..suspected.clone() }, at(9));
+        late.merge(&SuspectReport { age_ms, ..suspected.clone() }, at(9));
     });
     expect_that!(late.is_empty(), eq(true));
 }
@@ -117,13 +120,13 @@
 #[googletest::test]
 fn memory_is_bounded_and_what_is_held_back_is_kept() {
     let mut suspects = PoisonRequests::default();
-    suspects.ended(SUSPECT, life(1), at(0));
-    suspects.ended(SUSPECT, life(2), at(0));
+    suspects.record_crash(SUSPECT, life(1), at(0));
+    suspects.record_crash(SUSPECT, life(2), at(0));
     for number in 0..50_000 {
-        suspects.ended(Fingerprint(100 + number), life(3), at(number));
-        suspects.finished(Fingerprint(1_000_000 + number), at(number));
+        suspects.record_crash(Fingerprint(100 + number), life(3), at(number));
+        suspects.record_completed(Fingerprint(1_000_000 + number), at(number));
     }
-    expect_that!(suspects.news(at(49_999)).len(), le(4_096));
+    expect_that!(suspects.recent_reports(at(49_999)).len(), le(4_096));
     expect_that!(suspects.quarantine(SUSPECT, at(50_000)), some(anything()));
 }
 
@@ -145,27 +148,27 @@
             match rng.random_range(0..10) {
                 0 => {
                     let life = life(rng.random_range(0..12));
-                    gateways[gateway].ended(request, life, at(now));
+                    gateways[gateway].record_crash(request, life, at(now));
                     ends.entry(request).or_default().insert(life);
                 }
                 1 if request.0 == 0 => {
-                    gateways[gateway].finished(request, at(now));
+                    gateways[gateway].record_completed(request, at(now));
                     answered.insert(request);
                 }
                 // It starts again, and asks another what is held back.
                 2 if rng.random_bool(0.2) => {
                     let other = (gateway + 1) % gateways.len();
-                    let held = gateways[other].quarantined(usize::MAX, at(now));
+                    let held = gateways[other].quarantined_reports(usize::MAX, at(now));
                     gateways[gateway] = PoisonRequests::default();
                     for suspected in held {
-                        gateways[gateway].told(&suspected, at(now));
+                        gateways[gateway].merge(&suspected, at(now));
                     }
                 }
-                3..6 => on_way.extend(gateways[gateway].news(at(now))),
+                3..6 => on_way.extend(gateways[gateway].recent_reports(at(now))),
                 _ => {
                     on_way.shuffle(&mut rng);
                     if let Some(suspected) = on_way.last().cloned() {
-                        gateways[gateway].told(&suspected, at(now));
+                        gateways[gateway].merge(&suspected, at(now));
                     }
                     on_way.truncate(on_way.len() / 2);
                 }
@@ -173,29 +176,30 @@
             for suspects in &mut gateways {
                 let hold = suspects.quarantine(request, at(now));
                 let known = ends.get(&request).map_or(0, HashSet::len);
-                expect_that!(hold.map_or(0, |hold| hold.ends), le(known.min(8)), "seed {seed}");
+                expect_that!(hold.map_or(0, |hold| hold.crashes), le(known.min(8)), "seed {seed}");
             }
         }
         // All hear all, and find the same; what ended enough of them is held back.
         now += 2_000;
         for _ in 0..3 {
             let tells = |gateway: &PoisonRequests| {
-                [gateway.quarantined(usize::MAX, at(now)), gateway.news(at(now))].concat()
+                [gateway.quarantined_reports(usize::MAX, at(now)), gateway.recent_reports(at(now))]
+                    .concat()
             };
             let told: Vec<SuspectReport> = gateways.iter().flat_map(tells).collect();
             for suspects in &mut gateways {
                 for suspected in &told {
-                    suspects.told(suspected, at(now));
+                    suspects.merge(suspected, at(now));
                 }
             }
         }
-        let tell = gateways.iter().flat_map(|gateway| gateway.news(at(now + 2_000)));
+        let tell = gateways.iter().flat_map(|gateway| gateway.recent_reports(at(now + 2_000)));
         expect_that!(tell.count(), eq(0), "seed {seed}: news ends");
         for request in (0..6).map(Fingerprint) {
             let mut found =
                 gateways.iter_mut().map(|suspects| suspects.quarantine(request, at(now + 9)));
-            let first = found.next().flatten().map(|hold| hold.ends);
-            let agree = found.all(|hold| hold.map(|hold| hold.ends) == first);
+            let first = found.next().flatten().map(|hold| hold.crashes);
+            let agree = found.all(|hold| hold.map(|hold| hold.crashes) == first);
             expect_that!(agree, eq(true), "seed {seed}, request {}", request.0);
         }
     }
@@ -205,8 +209,8 @@
 #[googletest::test]
 fn nothing_is_told_while_no_server_ends() {
     let mut suspects = PoisonRequests::default();
-    (0..10_000).for_each(|number| suspects.finished(Fingerprint(number), at(number)));
+    (0..10_000).for_each(|number| suspects.record_completed(Fingerprint(number), at(number)));
     expect_that!(suspects.is_empty(), eq(true));
-    expect_that!(suspects.news(at(10_000)), is_empty());
-    expect_that!(suspects.quarantined(9, at(10_000) + Duration::from_secs(9)), is_empty());
+    expect_that!(suspects.recent_reports(at(10_000)), is_empty());
+    expect_that!(suspects.quarantined_reports(9, at(10_000) + Duration::from_secs(9)), is_empty());
 }
