--- a/crates/mastweir-core/src/table/sheet.rs
+++ b/crates/mastweir-core/src/table/csv.rs
@@ -12,7 +12,7 @@
 
 /// Why a sheet is refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum SheetError {
+pub enum CsvError {
     /// The first line does not name the columns.
     #[error(
         "reading the first line: {0:?} is not the header; begin with 'name,weight,inflight,units_s,burst,queue,largest,key_hash'"
@@ -20,10 +20,10 @@
     Header(String),
     /// A line has another number of cells.
     #[error("reading line {line}: {cells} cells; give all 8 columns")]
-    Cells {
+    CellCount {
         /// Number of the line, from 1.
         line: usize,
-        /// Cells found.
+        /// CellCount found.
         cells: usize,
     },
     /// A cell can't be read.
@@ -46,7 +46,7 @@
     },
     /// A name stands twice.
     #[error("reading line {line}: {name} stands twice; keep one line a customer")]
-    Twice {
+    Duplicate {
         /// Number of the line, from 1.
         line: usize,
         /// The name.
@@ -58,18 +58,18 @@
 ///
 /// # Errors
 ///
-/// [`SheetError`] of the first bad line.
-pub fn customers_from_csv(lines: &[Vec<String>]) -> Result<Vec<(String, Customer)>, SheetError> {
+/// [`CsvError`] of the first bad line.
+pub fn customers_from_csv(lines: &[Vec<String>]) -> Result<Vec<(String, Customer)>, CsvError> {
     let header = lines.first().map(|cells| cells.join(",")).unwrap_or_default();
     if header != COLUMNS.join(",") {
-        return Err(SheetError::Header(header));
+        return Err(CsvError::Header(header));
     }
     let mut customers: Vec<(String, Customer)> = Vec::new();
     for (i, cells) in lines.iter().enumerate().skip(1) {
         let line = i + 1;
         let (name, customer) = read_line(line, cells)?;
         if customers.iter().any(|(other, _)| *other == name) {
-            return Err(SheetError::Twice { line, name });
+            return Err(CsvError::Duplicate { line, name });
         }
         customers.push((name, customer));
     }
@@ -90,25 +90,25 @@
     text
 }
 
-fn read_line(line: usize, cells: &[String]) -> Result<(String, Customer), SheetError> {
+fn read_line(line: usize, cells: &[String]) -> Result<(String, Customer), CsvError> {
     let [name, weight, inflight, units_s, burst, queue, largest, key_hash] = cells else {
-        return Err(SheetError::Cells { line, cells: cells.len() });
+        return Err(CsvError::CellCount { line, cells: cells.len() });
     };
     let customer = Customer {
-        weight: number(line, "weight", weight)?,
-        inflight: number(line, "inflight", inflight)?,
-        units_s: number(line, "units_s", units_s)?,
-        burst: number(line, "burst", burst)?,
-        queue: number(line, "queue", queue)?,
-        largest: number(line, "largest", largest)?,
+        weight: parse_number(line, "weight", weight)?,
+        inflight: parse_number(line, "inflight", inflight)?,
+        units_s: parse_number(line, "units_s", units_s)?,
+        burst: parse_number(line, "burst", burst)?,
+        queue: parse_number(line, "queue", queue)?,
+        largest: parse_number(line, "largest", largest)?,
         key_hash: key_hash.clone(),
     };
     let row = Row::Customer(customer.clone());
-    row.check(name).map_err(|source| SheetError::Row { line, source })?;
+    row.check(name).map_err(|source| CsvError::Row { line, source })?;
     Ok((name.clone(), customer))
 }
 
-fn number<T: FromStr>(line: usize, column: &'static str, value: &str) -> Result<T, SheetError> {
-    let bad = |_| SheetError::Number { line, column, value: value.to_owned() };
+fn parse_number<T: FromStr>(line: usize, column: &'static str, value: &str) -> Result<T, CsvError> {
+    let bad = |_| CsvError::Number { line, column, value: value.to_owned() };
     value.trim().parse().map_err(bad)
 }
--- a/crates/mastweir-core/src/table/merge.rs
+++ b/crates/mastweir-core/src/table/merge.rs
@@ -16,7 +16,7 @@
 
 /// A row at a version; without a row, that it was deleted then.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct VersionedRow {
     /// Its key.
     pub key: RowKey,
     /// Resource version of the object.
@@ -33,18 +33,18 @@
     /// All up to this is in it.
     pub upto: u64,
     /// The rows.
-    pub rows: Vec<Stored>,
+    pub rows: Vec<VersionedRow>,
 }
 
 /// The table in force at a process.
 ///
 /// ```
-/// use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, Stored, Table};
+/// use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, VersionedRow, Table};
 ///
 /// let key = RowKey::new(RowKind::Drain, "s1");
 /// let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
 /// let mut table = Table::default();
-/// table.merge(&Delta { after: 0, upto: 7, rows: vec![Stored { key: key.clone(), version: 7, row }] });
+/// table.merge(&Delta { after: 0, upto: 7, rows: vec![VersionedRow { key: key.clone(), version: 7, row }] });
 /// // A list from before the row was written changes nothing.
 /// table.merge(&Delta { after: 0, upto: 5, rows: vec![] });
 /// assert!(table.get(&key).is_some());
@@ -52,10 +52,10 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    rows: BTreeMap<RowKey, Stored>,
+    rows: BTreeMap<RowKey, VersionedRow>,
     complete: u64,
     /// Deltas from before this can't be given: their tombstones are gone.
-    floor: u64,
+    delta_floor: u64,
 }
 
 impl Table {
@@ -87,9 +87,9 @@
     /// Takes one row of a watch in. True if it is newer than what was held.
     ///
     /// A watch delivers in order of versions, so all before it is known.
-    pub fn watch(&mut self, stored: Stored) -> bool {
+    pub fn apply_event(&mut self, stored: VersionedRow) -> bool {
         let version = stored.version;
-        let newer = self.put(stored);
+        let newer = self.insert_newer(stored);
         self.complete = self.complete.max(version);
         newer
     }
@@ -103,25 +103,25 @@
             self.delete_absent(delta);
             // Rows that came and went unseen have no tombstone here, so a peer
             // that is further back has to be given the whole table.
-            self.floor = self.floor.max(delta.upto);
+            self.delta_floor = self.delta_floor.max(delta.upto);
         }
         for stored in &delta.rows {
-            self.put(stored.clone());
+            self.insert_newer(stored.clone());
         }
         self.complete = self.complete.max(delta.upto);
         true
     }
 
     /// What a holder of `digest` lacks. Empty if it lacks nothing.
-    pub fn delta(&self, digest: Digest) -> Delta {
-        let after = if digest.complete < self.floor { 0 } else { digest.complete };
+    pub fn delta_since(&self, digest: Digest) -> Delta {
+        let after = if digest.complete < self.delta_floor { 0 } else { digest.complete };
         let newer = self.rows.values().filter(|stored| stored.version > after);
         let newer = newer.filter(|stored| stored.version <= self.complete);
         let rows = newer.filter(|stored| after > 0 || stored.row.is_some()).cloned().collect();
         Delta { after, upto: self.complete, rows }
     }
 
-    fn put(&mut self, stored: Stored) -> bool {
+    fn insert_newer(&mut self, stored: VersionedRow) -> bool {
         // Nothing up to `complete` is missing, so a row of such a version is one
         // that was replaced or deleted since, whether or not that is still known.
         let held = self.version(&stored.key);
@@ -131,7 +131,7 @@
         let deleted = stored.row.is_none();
         self.rows.insert(stored.key.clone(), stored);
         if deleted {
-            self.prune();
+            self.prune_tombstones();
         }
         true
     }
@@ -148,15 +148,15 @@
         }
     }
 
-    fn prune(&mut self) {
-        let dead = self.rows.values().filter(|stored| stored.row.is_none());
-        let mut versions: Vec<u64> = dead.map(|stored| stored.version).collect();
+    fn prune_tombstones(&mut self) {
+        let tombstones = self.rows.values().filter(|stored| stored.row.is_none());
+        let mut versions: Vec<u64> = tombstones.map(|stored| stored.version).collect();
         if versions.len() <= TOMBSTONES_MAX {
             return;
         }
         versions.sort_unstable();
-        let cut = versions[versions.len() - TOMBSTONES_MAX / 2];
-        self.rows.retain(|_, stored| stored.row.is_some() || stored.version > cut);
-        self.floor = self.floor.max(cut);
+        let cutoff = versions[versions.len() - TOMBSTONES_MAX / 2];
+        self.rows.retain(|_, stored| stored.row.is_some() || stored.version > cutoff);
+        self.delta_floor = self.delta_floor.max(cutoff);
     }
 }
--- a/crates/mastweir-core/src/table/mod.rs
+++ b/crates/mastweir-core/src/table/mod.rs
@@ -9,12 +9,12 @@
 //! [`Table::complete`] is the version up to which nothing is missing. Peers
 //! compare it ([`Digest`]) and send each other what lies between ([`Delta`]).
 
+mod csv;
 mod merge;
 mod row;
-mod sheet;
 
-pub use merge::{Delta, Digest, Stored, Table};
+pub use csv::{CsvError, customers_from_csv, customers_to_csv};
+pub use merge::{Delta, Digest, Table, VersionedRow};
 pub use row::{
     Customer, Drain, Row, RowError, RowKey, RowKind, Service, ServiceKind, hash_key, is_key_hash,
 };
-pub use sheet::{SheetError, customers_from_csv, customers_to_csv};
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -12,7 +12,7 @@
 };
 use futures_util::StreamExt;
 use mastweir_core::{
-    table::{Customer, Delta, Digest, Row, RowKey, RowKind, Service, Stored, Table},
+    table::{Customer, Delta, Digest, Row, RowKey, RowKind, Service, Table, VersionedRow},
     wire::{FRAME_MAX, PeerFrame},
 };
 use std::{
@@ -182,12 +182,16 @@
 
 /// One row as the table keeps it. A row that can't be read, or is bad, is left
 /// as it was, and does not stop the others.
-fn stored(shared: &Shared, object: &Object<serde_json::Value>, deleted: bool) -> Option<Stored> {
+fn stored(
+    shared: &Shared,
+    object: &Object<serde_json::Value>,
+    deleted: bool,
+) -> Option<VersionedRow> {
     let name = &object.metadata.name;
     let key = RowKey::from_str(name).ok()?;
     let version = object.version();
     if deleted {
-        return Some(Stored { key, version, row: None });
+        return Some(VersionedRow { key, version, row: None });
     }
     let row = serde_json::from_value::<Row>(object.spec.clone());
     let checked = row.map_err(|error| error.to_string()).and_then(|row| {
@@ -195,21 +199,21 @@
         if row.kind() == key.kind { Ok(row) } else { Err("kind and name differ".to_owned()) }
     });
     match checked {
-        Ok(row) => Some(Stored { key, version, row: Some(row) }),
+        Ok(row) => Some(VersionedRow { key, version, row: Some(row) }),
         Err(error) => {
             slog::error!(shared.context.log, "a row in the object API is bad; keeps the former one";
                 "row" => name, "error" => error);
             shared.context.metrics.count("table.bad_row");
             let former = lock(&shared.table).get(&key).cloned();
-            former.map(|row| Stored { key, version, row: Some(row) })
+            former.map(|row| VersionedRow { key, version, row: Some(row) })
         }
     }
 }
 
-fn take_change(shared: &Arc<Shared>, change: Stored) {
+fn take_change(shared: &Arc<Shared>, change: VersionedRow) {
     let key = change.key.clone();
     let version = change.version;
-    let newer = lock(&shared.table).watch(change);
+    let newer = lock(&shared.table).apply_event(change);
     if newer {
         slog::info!(shared.context.log, "row in force"; "row" => %key, "version" => version);
         in_force(shared);
@@ -278,7 +282,7 @@
     let PeerFrame::Want(digest) = channel.receiver.recv().await? else {
         return Err(ChannelError::Closed);
     };
-    let delta = lock(&shared.table).delta(digest);
+    let delta = lock(&shared.table).delta_since(digest);
     for frame in parts(&delta) {
         channel.sender.send(&frame).await?;
     }
@@ -289,7 +293,7 @@
 fn parts(delta: &Delta) -> Vec<PeerFrame> {
     const _: () = assert!(ROWS_MAX * 512 < FRAME_MAX);
     let Delta { after, upto, rows } = delta;
-    let mut parts: Vec<Vec<Stored>> = rows.chunks(ROWS_MAX).map(<[_]>::to_vec).collect();
+    let mut parts: Vec<Vec<VersionedRow>> = rows.chunks(ROWS_MAX).map(<[_]>::to_vec).collect();
     if parts.is_empty() {
         parts.push(Vec::new());
     }
--- a/tests/testsuite/fuzz_table.rs
+++ b/tests/testsuite/fuzz_table.rs
@@ -2,7 +2,7 @@
 //! and peers, in any order. What is in force never reverts, and what was
 //! accepted is in force once a process has come as far.
 
-use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, Stored, Table};
+use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, Table, VersionedRow};
 use proptest::{prelude::*, test_runner::Config};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::collections::BTreeMap;
@@ -74,14 +74,14 @@
 }
 
 /// The rows after the first `upto` writes, as a list gives them.
-fn listed(history: &[Write], upto: usize) -> Vec<Stored> {
-    let mut rows: BTreeMap<RowKey, Stored> = BTreeMap::new();
+fn listed(history: &[Write], upto: usize) -> Vec<VersionedRow> {
+    let mut rows: BTreeMap<RowKey, VersionedRow> = BTreeMap::new();
     for (i, (key, row)) in history[..upto].iter().enumerate() {
         let version = i as u64 + 1;
         match row {
             Some(row) => {
                 let row = Some(row.clone());
-                rows.insert(key.clone(), Stored { key: key.clone(), version, row });
+                rows.insert(key.clone(), VersionedRow { key: key.clone(), version, row });
             }
             None => {
                 rows.remove(key);
@@ -116,17 +116,17 @@
                 let next = holders.tables[i].complete() as usize;
                 if let Some((key, row)) = history.get(next) {
                     let version = next as u64 + 1;
-                    let stored = Stored { key: key.clone(), version, row: row.clone() };
-                    holders.tables[i].watch(stored);
+                    let stored = VersionedRow { key: key.clone(), version, row: row.clone() };
+                    holders.tables[i].apply_event(stored);
                 }
             }
             Step::Fetch(i, from) => {
-                let delta = holders.tables[from].delta(holders.tables[i].digest());
+                let delta = holders.tables[from].delta_since(holders.tables[i].digest());
                 holders.late[i] = Some(delta.clone());
                 holders.tables[i].merge(&delta);
             }
             Step::FetchLate(i, from) => {
-                let delta = holders.tables[from].delta(holders.tables[i].digest());
+                let delta = holders.tables[from].delta_since(holders.tables[i].digest());
                 if let Some(late) = holders.late[i].replace(delta) {
                     holders.tables[i].merge(&late);
                 }
@@ -177,10 +177,10 @@
     let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
     let mut behind = Table::default();
     behind.merge(&Delta { after: 0, upto: 0, rows: Vec::new() });
-    behind.watch(Stored { key: key.clone(), version: 1, row });
+    behind.apply_event(VersionedRow { key: key.clone(), version: 1, row });
     let mut fresh = Table::default();
     fresh.merge(&Delta { after: 0, upto: 2, rows: Vec::new() });
-    behind.merge(&fresh.delta(behind.digest()));
+    behind.merge(&fresh.delta_since(behind.digest()));
     assert_eq!(behind.get(&key), None);
 }
 
@@ -192,7 +192,7 @@
     let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
     let mut table = Table::default();
     table.merge(&Delta { after: 0, upto: 3, rows: Vec::new() });
-    let stored = Stored { key: key.clone(), version: 2, row };
+    let stored = VersionedRow { key: key.clone(), version: 2, row };
     table.merge(&Delta { after: 0, upto: 2, rows: vec![stored] });
     assert_eq!(table.get(&key), None);
 }
