--- a/crates/mastweir-bench/src/commands/control.rs
+++ b/crates/mastweir-bench/src/commands/control.rs
@@ -256,7 +256,7 @@
                     running: 12,
                     slots: 16,
                     rate: 1_600,
-                    each: 60,
+                    mean_remaining: 60,
                     step_us: 5_000,
                     ..Load::default()
                 };
--- a/crates/mastweir-bench/src/sim/routing/decision.rs
+++ b/crates/mastweir-bench/src/sim/routing/decision.rs
@@ -16,7 +16,8 @@
     let known = |i| ServerView::new(format!("server-{i}"), true);
     router.set_servers((0..servers).map(known).collect());
     for place in 0..servers {
-        let load = Load { slots: 16, rate: 1_600, each: 60, step_us: 10_000, ..Load::default() };
+        let load =
+            Load { slots: 16, rate: 1_600, mean_remaining: 60, step_us: 10_000, ..Load::default() };
         router.on_report(place, &load, Uptime(0));
     }
     for place in index::sample(&mut rng, servers, servers / 4) {
--- a/crates/mastweir-bench/src/sim/routing/mod.rs
+++ b/crates/mastweir-bench/src/sim/routing/mod.rs
@@ -324,7 +324,7 @@
             slots: SLOTS as u16,
             backlog: held.queue.len() as u32 * COST,
             rate: rate as u32,
-            each: COST / 2,
+            mean_remaining: COST / 2,
             step_us: (STEP * held.slow * 1e6) as u32,
             ..Load::default()
         };
--- a/crates/mastweir-core/src/route/router.rs
+++ b/crates/mastweir-core/src/route/router.rs
@@ -400,5 +400,5 @@
 
 /// Seconds of a server's work in one running request.
 fn work_per_request(load: &Load) -> f64 {
-    f64::from(load.each) / f64::from(load.rate.max(1))
+    f64::from(load.mean_remaining) / f64::from(load.rate.max(1))
 }
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -26,7 +26,7 @@
 /// Bytes of a request body at most.
 pub const BODY_MAX: usize = 1 << 20;
 /// Bytes of one piece of a body in a frame.
-pub const PIECE_MAX: usize = 32 << 10;
+pub const CHUNK_MAX: usize = 32 << 10;
 
 /// An order to run an attempt; its body follows in [`ToAgent::Body`] frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
     /// Path and query at the server.
     pub path: String,
     /// Value of `content-type`, if any.
-    pub content: Option<String>,
+    pub content_type: Option<String>,
     /// Bytes of the body that follows.
     pub body_len: u32,
 }
@@ -95,7 +95,7 @@
     /// Recent service rate, in units a second.
     pub rate: u32,
     /// Service units that a running request has left, on average.
-    pub each: u32,
+    pub mean_remaining: u32,
     /// Step time of the group's slowest rank, in microseconds.
     pub step_us: u32,
     /// Slowest rank over mean, in thousandths.
@@ -103,16 +103,16 @@
     /// Free room for KV cache, in thousandths.
     pub kv_free: u16,
     /// Version of the expert map in force.
-    pub map: u64,
+    pub map_version: u64,
     /// Changes when a rank here was replaced by one that knows nothing.
-    pub lives: u64,
+    pub rank_incarnations: u64,
     /// Whether the server is leaving.
     pub leaving: bool,
 }
 
 /// What a request has cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct RequestCost {
     /// Service units used.
     pub units: u32,
 }
@@ -140,7 +140,7 @@
         /// HTTP status.
         status: u16,
         /// Value of `content-type`, if any.
-        content: Option<String>,
+        content_type: Option<String>,
     },
     /// A unit of the answer's body.
     Chunk {
@@ -150,20 +150,20 @@
         bytes: Vec<u8>,
     },
     /// The answer is whole.
-    End(Spent, Load),
+    End(RequestCost, Load),
     /// The answer will never be whole.
     Broken(Load),
     /// Answer to [`ToAgent::Rank`].
     Rank(RankReply),
     /// The answer will never be whole: the engine ended under it.
-    EngineEnded(Load),
+    EngineCrashed(Load),
 }
 
 /// Between entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
     /// Asks for what the holder of the digest lacks.
-    Want(Digest),
+    Request(Digest),
     /// A part of the answer.
     Rows {
         /// The part.
--- a/src/mastweir/agent/answer.rs
+++ b/src/mastweir/agent/answer.rs
@@ -6,7 +6,7 @@
 //! up to a bound.
 
 use bytes::Bytes;
-use mastweir_core::{outcome::Refusal, wire::Spent};
+use mastweir_core::{outcome::Refusal, wire::RequestCost};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Whole.
-    Whole(Spent),
+    Whole(RequestCost),
     /// Never whole.
     Broken,
     /// Never whole: the engine ended under it.
--- a/src/mastweir/agent/engine.rs
+++ b/src/mastweir/agent/engine.rs
@@ -7,7 +7,7 @@
 use mastweir_core::{
     outcome::Refusal,
     switch::{RankOrder, RankReply},
-    wire::{PIECE_MAX, Spent},
+    wire::{CHUNK_MAX, RequestCost},
 };
 use reqwest::{Client, Method, RequestBuilder, Response, header};
 use serde::Deserialize;
@@ -86,7 +86,7 @@
             .header("x-request-id", &start.request)
             .header("x-operation-id", start.op.to_string())
             .header("x-priority", start.class.to_string());
-        let request = match &start.content {
+        let request = match &start.content_type {
             Some(content) => request.header(header::CONTENT_TYPE, content),
             None => request,
         };
@@ -133,7 +133,7 @@
                 return End::Broken;
             }
         }
-        if buffer.len() > PIECE_MAX {
+        if buffer.len() > CHUNK_MAX {
             return End::Broken;
         }
     }
@@ -149,7 +149,7 @@
         let Ok(mut piece) = piece else { return End::Broken };
         whole.extend_from_slice(&piece);
         while piece.has_remaining() {
-            let part = piece.split_to(piece.len().min(PIECE_MAX));
+            let part = piece.split_to(piece.len().min(CHUNK_MAX));
             if !job.answer.push(part).await {
                 return End::Broken;
             }
@@ -168,6 +168,6 @@
 }
 
 /// What a request has cost, now that its length is known.
-fn spent(job: &Job, generated: u64) -> Spent {
-    Spent { units: job.start.units(generated) }
+fn spent(job: &Job, generated: u64) -> RequestCost {
+    RequestCost { units: job.start.units(generated) }
 }
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -234,12 +234,12 @@
             slots: self.slots,
             backlog: u32::try_from(state.queue.backlog()).unwrap_or(u32::MAX),
             rate: rate as u32,
-            each: state.each as u32,
+            mean_remaining: state.each as u32,
             step_us: state.engine.step_us,
             skew: state.engine.skew,
             kv_free: state.engine.kv_free,
-            map: state.engine.map,
-            lives: state.engine.lives,
+            map_version: state.engine.map,
+            rank_incarnations: state.engine.lives,
             leaving: state.leaving,
         }
     }
--- a/src/mastweir/agent/serve.rs
+++ b/src/mastweir/agent/serve.rs
@@ -131,7 +131,7 @@
     let mut reader = job.answer.reader(from);
     loop {
         let frame = match job.answer.next(&mut reader).await {
-            Item::Head(status, content) => FromAgent::Head { status, content },
+            Item::Head(status, content) => FromAgent::Head { status, content_type: content },
             Item::Chunk(at, bytes) => FromAgent::Chunk { at, bytes: bytes.to_vec() },
             Item::End(end) => return sender.send(&last_frame(shared, end)).await,
         };
@@ -144,7 +144,7 @@
     match end {
         End::Whole(spent) => FromAgent::End(spent, load),
         End::Broken => FromAgent::Broken(load),
-        End::EngineEnded => FromAgent::EngineEnded(load),
+        End::EngineEnded => FromAgent::EngineCrashed(load),
         End::Refused(why) => FromAgent::Refused(why, load),
     }
 }
--- a/src/mastweir/entry/attempt.rs
+++ b/src/mastweir/entry/attempt.rs
@@ -5,7 +5,7 @@
 use mastweir_core::{
     gateway::Fingerprint,
     outcome::Event,
-    wire::{FromAgent, Load, PIECE_MAX, Spent, Start, ToAgent},
+    wire::{CHUNK_MAX, FromAgent, Load, RequestCost, Start, ToAgent},
 };
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     /// Status and content type of a head.
     pub head: Option<(u16, Option<String>)>,
     /// What the request has cost, at its end.
-    pub spent: Option<Spent>,
+    pub spent: Option<RequestCost>,
     /// The life of an engine that ended under it.
     pub ended: Option<Fingerprint>,
 }
@@ -50,7 +50,7 @@
     /// Sends the order and its body.
     pub async fn start(&mut self, start: Start, body: &[u8]) -> Result<(), ChannelError> {
         self.channel.sender.send(&ToAgent::Start(Box::new(start))).await?;
-        for piece in body.chunks(PIECE_MAX) {
+        for piece in body.chunks(CHUNK_MAX) {
             self.channel.sender.send(&ToAgent::Body(piece.to_vec())).await?;
         }
         Ok(())
@@ -81,8 +81,8 @@
                 self.report(shared, &load);
                 Came::bare(Event::Refused(why))
             }
-            FromAgent::Head { status, content } => {
-                Came { head: Some((status, content)), ..Came::bare(Event::Head) }
+            FromAgent::Head { status, content_type } => {
+                Came { head: Some((status, content_type)), ..Came::bare(Event::Head) }
             }
             FromAgent::Chunk { at, bytes } => Came { bytes, ..Came::bare(Event::Chunk { at }) },
             FromAgent::End(spent, load) => {
@@ -93,7 +93,7 @@
                 self.report(shared, &load);
                 Came::bare(Event::Lost)
             }
-            FromAgent::EngineEnded(load) => {
+            FromAgent::EngineCrashed(load) => {
                 self.report(shared, &load);
                 // An engine says nothing of its lives; one that ends does so at one moment.
                 let life = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
--- a/src/mastweir/entry/calls/start.rs
+++ b/src/mastweir/entry/calls/start.rs
@@ -27,7 +27,7 @@
             decode_milli: order.service.cost.decode_milli,
             method: order.method.clone(),
             path: order.path.clone(),
-            content: order.content.clone(),
+            content_type: order.content.clone(),
             body_len: u32::try_from(order.body.len()).unwrap_or(u32::MAX),
         }
     }
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -256,7 +256,7 @@
 async fn fetch_parts(shared: &Arc<Shared>, addr: SocketAddr) -> Result<(), ChannelError> {
     let mut channel = shared.pool.get(addr).await?;
     let digest = lock(&shared.table).digest();
-    channel.sender.send(&PeerFrame::Want(digest)).await?;
+    channel.sender.send(&PeerFrame::Request(digest)).await?;
     let mut whole: Option<Delta> = None;
     loop {
         let PeerFrame::Rows { delta, more } = channel.receiver.recv().await? else {
@@ -279,7 +279,7 @@
 
 async fn serve_peer(shared: &Shared, stream: TcpStream) -> Result<(), ChannelError> {
     let mut channel = Channel::accept(stream, &shared.context.secret).await?;
-    let PeerFrame::Want(digest) = channel.receiver.recv().await? else {
+    let PeerFrame::Request(digest) = channel.receiver.recv().await? else {
         return Err(ChannelError::Closed);
     };
     let delta = lock(&shared.table).delta_since(digest);
--- a/src/mastweir/entry/view.rs
+++ b/src/mastweir/entry/view.rs
@@ -143,7 +143,10 @@
         };
         let known = self.routers.values().flat_map(Router::servers);
         let own = known.filter(|known| of_group(&known.name));
-        own.filter_map(|known| Some((known.name.clone(), known.report.as_ref()?.0.lives))).collect()
+        own.filter_map(|known| {
+            Some((known.name.clone(), known.report.as_ref()?.0.rank_incarnations))
+        })
+        .collect()
     }
 
     /// An agent's report.
--- a/tests/testsuite/fuzz_routing.rs
+++ b/tests/testsuite/fuzz_routing.rs
@@ -73,7 +73,7 @@
                     uptime: now,
                     slots: 4,
                     running: 2,
-                    each: 50,
+                    mean_remaining: 50,
                     rate: 400,
                     backlog: *backlog,
                     leaving: *leaving,
@@ -129,7 +129,7 @@
         router.set_servers((0..20).map(|i| ServerView::new(format!("s{i}"), true)).collect());
         let now = Uptime::from_secs(1);
         for place in 0..20 {
-            let load = Load { slots: 4, rate: 400, each: 50, ..Load::default() };
+            let load = Load { slots: 4, rate: 400, mean_remaining: 50, ..Load::default() };
             router.on_report(place, &load, now);
         }
         let choice = router.choose(&Request::default(), now, &mut rng);
