--- a/crates/mastweir-core/src/switch/coordinator.rs
+++ b/crates/mastweir-core/src/switch/coordinator.rs
@@ -2,16 +2,16 @@
 //!
 //! Replies in, orders out. It is driven by [`Coordinator::orders`], which says
 //! what to send to which rank now (again, if no reply came), and
-//! [`Coordinator::on`]. It never waits for a rank that is not there: without all
+//! [`Coordinator::on_reply`]. It never waits for a rank that is not there: without all
 //! ranks a switch can't begin, and the group is not fit to serve anyway.
 //!
-//! These ranks are ours: they keep the promise of a cap, and refuse earlier epochs and
+//! These ranks are ours: they keep the promise of a barrier, and refuse earlier epochs and
 //! rounds. Ranks that take plain orders, perhaps late, and check no token, are changed by
 //! [`map_change`](super::map_change), which may rest on none of that.
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 
-/// Steps between the highest one seen and a cap at first.
+/// Steps between the highest one seen and a barrier at first.
 const MARGIN_MIN: Step = 4;
 const MARGIN_MAX: Step = 4_096;
 
@@ -25,14 +25,14 @@
     /// Ranks load the map.
     Preparing(MapVersion),
     /// Ranks promise not to begin the step. After a rank was lost, the steps
-    /// before the next grant are left out (`jump`), since it may have begun one.
-    Capping {
+    /// before the next grant are left out (`skips_step`), since it may have begun one.
+    SettingBarrier {
         /// The map that will be granted.
         map: MapVersion,
         /// The first step that is not to be begun.
-        cap: Step,
-        /// Whether the grant begins beyond the cap.
-        jump: bool,
+        barrier: Step,
+        /// Whether the grant begins beyond the barrier.
+        skips_step: bool,
     },
     /// Ranks are given the map from the step on.
     Granting(MapVersion, Step),
@@ -99,16 +99,16 @@
     }
 
     /// Gives a switch up that has granted nothing yet.
-    pub fn give_up(&mut self) -> bool {
+    pub fn abort(&mut self) -> bool {
         match self.progress {
             Progress::Preparing(_) => {
                 let map = self.current_map();
                 self.enter(Progress::Steady(map));
                 true
             }
-            Progress::Capping { .. } => {
+            Progress::SettingBarrier { .. } => {
                 // Caps may have been taken: lift them at a step that none has
-                // begun, which needs all to be capped first. Sealing does it.
+                // begun, which needs a barrier at all of them first. Sealing does it.
                 self.enter(Progress::Sealing);
                 true
             }
@@ -123,7 +123,7 @@
     }
 
     /// Takes the reply to an order in.
-    pub fn on(&mut self, rank: usize, order: &Order, reply: RankReply) {
+    pub fn on_reply(&mut self, rank: usize, order: &Order, reply: RankReply) {
         let (status, ok) = match reply {
             RankReply::Ok(status) => (status, true),
             RankReply::Refused(status) | RankReply::Busy(status) => (status, false),
@@ -133,15 +133,17 @@
         if status.epoch > self.epoch || !current {
             return;
         }
-        if self.is_reborn(rank, &status) {
+        if self.is_restarted(rank, &status) {
             self.ranks[rank] = Some(status);
             self.enter(Progress::Sealing);
             return;
         }
         self.ranks[rank] = Some(status);
         match (self.progress, ok) {
-            (Progress::Capping { map, cap, jump }, false) if status.begun >= cap => {
-                self.raise_cap(map, jump);
+            (Progress::SettingBarrier { map, barrier, skips_step }, false)
+                if status.begun >= barrier =>
+            {
+                self.raise_barrier(map, skips_step);
             }
             (_, true) => {
                 self.acked[rank] = true;
@@ -152,9 +154,9 @@
     }
 
     fn order(&self, rank: usize) -> Option<Order> {
-        let life = self.ranks[rank].map(|status| status.incarnation);
+        let incarnation = self.ranks[rank].map(|status| status.incarnation);
         let verb = self.verb(rank)?;
-        Some(Order { epoch: self.epoch, round: self.round, life, verb })
+        Some(Order { epoch: self.epoch, round: self.round, incarnation, verb })
     }
 
     fn verb(&self, rank: usize) -> Option<Verb> {
@@ -162,7 +164,7 @@
             Progress::Sealing => Some(Verb::Seal),
             Progress::Steady(_) => None,
             Progress::Preparing(map) => Some(Verb::Prepare(map)),
-            Progress::Capping { cap, .. } => Some(Verb::Cap(cap)),
+            Progress::SettingBarrier { barrier, .. } => Some(Verb::Barrier(barrier)),
             Progress::Granting(map, step) => {
                 let loaded = self.ranks[rank].is_some_and(|status| status.loaded >= map);
                 Some(if loaded { Verb::Grant(map, step) } else { Verb::Prepare(map) })
@@ -171,7 +173,7 @@
     }
 
     /// A rank of another life has forgotten its grants.
-    fn is_reborn(&self, rank: usize, status: &RankStatus) -> bool {
+    fn is_restarted(&self, rank: usize, status: &RankStatus) -> bool {
         let sealing = self.progress == Progress::Sealing;
         let known = self.ranks[rank].as_ref();
         !sealing && known.is_some_and(|last| last.incarnation != status.incarnation)
@@ -185,13 +187,13 @@
             return;
         }
         match self.progress {
-            Progress::Sealing => self.sealed(),
+            Progress::Sealing => self.on_sealed(),
             Progress::Preparing(map) => {
-                let cap = self.highest_begun() + self.margin;
-                self.enter(Progress::Capping { map, cap, jump: false });
+                let barrier = self.highest_begun() + self.margin;
+                self.enter(Progress::SettingBarrier { map, barrier, skips_step: false });
             }
-            Progress::Capping { map, cap, jump } => {
-                self.enter(Progress::Granting(map, cap + Step::from(jump)));
+            Progress::SettingBarrier { map, barrier, skips_step } => {
+                self.enter(Progress::Granting(map, barrier + Step::from(skips_step)));
             }
             Progress::Granting(map, _) => {
                 self.margin = (self.margin / 2).max(MARGIN_MIN);
@@ -210,35 +212,35 @@
     }
 
     /// All ranks of the epoch before are sealed, and their statuses are in.
-    fn sealed(&mut self) {
+    fn on_sealed(&mut self) {
         let known: Vec<RankStatus> = self.ranks.iter().flatten().copied().collect();
-        let newest = known.iter().filter_map(|status| status.grant).max_by_key(|grant| grant.1);
-        let fresh = known.iter().any(|status| status.grant.is_none());
-        let Some((map, from)) = newest else {
+        let latest = known.iter().filter_map(|status| status.grant).max_by_key(|grant| grant.1);
+        let any_new = known.iter().any(|status| status.grant.is_none());
+        let Some((map, from)) = latest else {
             return self.enter(Progress::Granting(self.first, 1));
         };
-        let all_newest = known.iter().all(|status| status.grant == newest);
-        let capped = known.iter().filter_map(|status| status.cap).max();
-        match (all_newest, fresh, capped) {
+        let all_latest = known.iter().all(|status| status.grant == latest);
+        let last_barrier = known.iter().filter_map(|status| status.barrier).max();
+        match (all_latest, any_new, last_barrier) {
             (true, _, None) => self.enter(Progress::Steady(map)),
-            // Some rank was granted the newest map, so all had promised to
+            // Some rank was granted the latest map, so all had promised to
             // stop before it: the grant may be completed at the others.
             (false, false, _) => self.enter(Progress::Granting(map, from)),
             // Caps only: go on under the same map. If a rank was lost, its
-            // former life may have been granted the cap's step and begun it,
+            // former life may have been granted the barrier's step and begun it,
             // but not completed it: the steps up to there are left out.
             _ => {
                 let past = self.highest_begun().max(from) + 1;
-                let cap = capped.unwrap_or(0).max(past);
-                self.enter(Progress::Capping { map, cap, jump: fresh });
+                let barrier = last_barrier.unwrap_or(0).max(past);
+                self.enter(Progress::SettingBarrier { map, barrier, skips_step: any_new });
             }
         }
     }
 
-    fn raise_cap(&mut self, map: MapVersion, jump: bool) {
+    fn raise_barrier(&mut self, map: MapVersion, skips_step: bool) {
         self.margin = (self.margin * 2).min(MARGIN_MAX);
-        let cap = self.highest_begun() + self.margin;
-        self.enter(Progress::Capping { map, cap, jump });
+        let barrier = self.highest_begun() + self.margin;
+        self.enter(Progress::SettingBarrier { map, barrier, skips_step });
     }
 
     fn enter(&mut self, progress: Progress) {
--- a/crates/mastweir-core/src/switch/lease.rs
+++ b/crates/mastweir-core/src/switch/lease.rs
@@ -2,7 +2,7 @@
 //!
 //! Time is the holder's own monotonic clock, taken from before the request
 //! that renewed the lease was sent. Others never compare clocks: they take a
-//! lease over only after they have seen it unchanged for its whole term on
+//! lease over only after they have observed it unchanged for its whole term on
 //! their own clock. A holder that wakes from a pause asks
 //! [`Lease::is_held`] before each order; what it can still do wrong between
 //! that check and the effect, the epoch stops at the rank.
@@ -34,7 +34,7 @@
 
 /// What to write next, if anything.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Holding {
+pub enum LeasePlan {
     /// Write this record, conditional on the version read.
     Write(LeaseRecord),
     /// Another one holds it.
@@ -46,14 +46,14 @@
 pub struct Lease {
     own: Fence,
     term: Duration,
-    seen: Option<(LeaseRecord, Uptime)>,
+    observed: Option<(LeaseRecord, Uptime)>,
     held: Option<(u64, Uptime)>,
 }
 
 impl Lease {
     /// A lease of which nothing is known.
     pub const fn new(own: Fence, term: Duration) -> Self {
-        Self { own, term, seen: None, held: None }
+        Self { own, term, observed: None, held: None }
     }
 
     /// The epoch, if it is held at `now`.
@@ -67,34 +67,34 @@
     }
 
     /// What to write, given what was read (`None`: there is no record).
-    pub fn plan(&mut self, read: Option<&LeaseRecord>, now: Uptime) -> Holding {
-        let Some(record) = read else { return Holding::Write(self.record(1, 1)) };
-        if self.seen.as_ref().is_none_or(|(seen, _)| seen != record) {
-            self.seen = Some((record.clone(), now));
+    pub fn plan(&mut self, read: Option<&LeaseRecord>, now: Uptime) -> LeasePlan {
+        let Some(record) = read else { return LeasePlan::Write(self.record(1, 1)) };
+        if self.observed.as_ref().is_none_or(|(observed, _)| observed != record) {
+            self.observed = Some((record.clone(), now));
         }
         if record.holder == self.own {
-            return Holding::Write(self.record(record.epoch, record.renewal + 1));
+            return LeasePlan::Write(self.record(record.epoch, record.renewal + 1));
         }
         let term = Duration::from_millis(u64::from(record.term_ms));
-        let stale = self.seen.as_ref().is_some_and(|(_, since)| now.since(*since) > term);
+        let stale = self.observed.as_ref().is_some_and(|(_, since)| now.since(*since) > term);
         if stale {
-            return Holding::Write(self.record(record.epoch + 1, record.renewal + 1));
+            return LeasePlan::Write(self.record(record.epoch + 1, record.renewal + 1));
         }
-        Holding::Wait
+        LeasePlan::Wait
     }
 
     /// A write is known to have landed; the request began at `sent`.
-    pub fn landed(&mut self, record: &LeaseRecord, sent: Uptime) {
+    pub fn mark_written(&mut self, record: &LeaseRecord, sent: Uptime) {
         if record.holder != self.own {
             self.held = None;
             return;
         }
         self.held = Some((record.epoch, sent + self.term));
-        self.seen = Some((record.clone(), sent));
+        self.observed = Some((record.clone(), sent));
     }
 
     /// It is another's by now.
-    pub fn lost(&mut self) {
+    pub fn mark_lost(&mut self) {
         self.held = None;
     }
 
--- a/crates/mastweir-core/src/switch/mod.rs
+++ b/crates/mastweir-core/src/switch/mod.rs
@@ -24,26 +24,26 @@
 pub mod subtrees;
 
 pub use coordinator::{Coordinator, Progress};
-pub use lease::{Holding, Lease, LeaseRecord};
+pub use lease::{Lease, LeasePlan, LeaseRecord};
 pub use loss::OrderLoss;
 pub use rank::Rank;
 
 use crate::id::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// Epochs that an era of the platform's store has room for: a group that changes its
+/// Epochs that an generation of the platform's store has room for: a group that changes its
 /// coordinator each second takes them in 136 years.
-const EPOCHS_OF_ERA: u64 = 1 << 32;
+const EPOCHS_PER_GENERATION: u64 = 1 << 32;
 /// Eras told apart. Beyond them epochs would leave the 53 bits that every reader of JSON
 /// keeps.
-const ERAS_MAX: u64 = 1 << 20;
+const GENERATIONS_MAX: u64 = 1 << 20;
 
-/// The epoch below the first that is given out in an era of the store. A store that comes
+/// The epoch below the first that is given out in an generation of the store. A store that comes
 /// back from an older copy has lost the epochs given out since; ranks have seen them, and must
 /// see none of them again.
-pub const fn first_epoch(era: u64) -> u64 {
-    let era = if era < ERAS_MAX { era } else { ERAS_MAX };
-    era * EPOCHS_OF_ERA
+pub const fn first_epoch(generation: u64) -> u64 {
+    let generation = if generation < GENERATIONS_MAX { generation } else { GENERATIONS_MAX };
+    generation * EPOCHS_PER_GENERATION
 }
 
 /// Version of an expert map; rises with each map of a group.
@@ -63,7 +63,8 @@
     /// Round of the epoch.
     pub round: u64,
     /// The life of the rank that it is for. A seal is for any: it asks.
-    pub life: Option<Incarnation>,
+    #[serde(rename = "life")]
+    pub incarnation: Option<Incarnation>,
     /// What to do.
     pub verb: Verb,
 }
@@ -87,7 +88,8 @@
     /// Load what the map needs.
     Prepare(MapVersion),
     /// Do not begin this step, or a later one, without a new grant.
-    Cap(Step),
+    #[serde(rename = "Cap")]
+    Barrier(Step),
     /// From this step on, use this map. Ends the cap.
     Grant(MapVersion, Step),
 }
@@ -102,7 +104,8 @@
     /// The last grant, if any.
     pub grant: Option<(MapVersion, Step)>,
     /// The cap, if any.
-    pub cap: Option<Step>,
+    #[serde(rename = "cap")]
+    pub barrier: Option<Step>,
     /// The last step that it began.
     pub begun: Step,
     /// The last map that it has loaded.
--- a/crates/mastweir-core/src/switch/rank.rs
+++ b/crates/mastweir-core/src/switch/rank.rs
@@ -11,21 +11,21 @@
 ///     switch::{MapVersion, Order, Rank, RankReply, Verb},
 /// };
 ///
-/// let life = Some(Incarnation(1));
-/// let order = |epoch, round, verb| Order { epoch, round, life, verb };
+/// let incarnation = Some(Incarnation(1));
+/// let order = |epoch, round, verb| Order { epoch, round, incarnation, verb };
 /// let mut rank = Rank::new(Incarnation(1));
 /// // Without a grant it runs nothing.
 /// assert_eq!(rank.next_step(), None);
-/// rank.on(&order(1, 1, Verb::Seal));
-/// rank.on(&order(1, 2, Verb::Prepare(MapVersion(1))));
+/// rank.on_order(&order(1, 1, Verb::Seal));
+/// rank.on_order(&order(1, 2, Verb::Prepare(MapVersion(1))));
 /// rank.load(MapVersion(1));
-/// rank.on(&order(1, 2, Verb::Grant(MapVersion(1), 1)));
+/// rank.on_order(&order(1, 2, Verb::Grant(MapVersion(1), 1)));
 /// assert_eq!(rank.next_step(), Some((1, MapVersion(1))));
 /// rank.begin(1);
-/// rank.on(&order(1, 3, Verb::Cap(2)));
+/// rank.on_order(&order(1, 3, Verb::Barrier(2)));
 /// assert_eq!(rank.next_step(), None);
 /// // An order of a former coordinator comes late.
-/// let late = rank.on(&order(0, 9, Verb::Grant(MapVersion(9), 2)));
+/// let late = rank.on_order(&order(0, 9, Verb::Grant(MapVersion(9), 2)));
 /// assert!(matches!(late, RankReply::Refused(_)));
 /// ```
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     round: u64,
     /// Maps by first step; the last one may be ahead.
     grants: Vec<(MapVersion, Step)>,
-    cap: Option<Step>,
+    barrier: Option<Step>,
     begun: Step,
     loaded: MapVersion,
 }
@@ -49,14 +49,14 @@
             epoch: 0,
             round: 0,
             grants: Vec::new(),
-            cap: None,
+            barrier: None,
             begun: 0,
             loaded: MapVersion(0),
         }
     }
 
     /// Carries an order out, or refuses it.
-    pub fn on(&mut self, order: &Order) -> RankReply {
+    pub fn on_order(&mut self, order: &Order) -> RankReply {
         if !self.is_current(order) {
             return RankReply::Refused(self.status());
         }
@@ -66,7 +66,7 @@
         let done = match verb {
             Verb::Seal => true,
             Verb::Prepare(map) => self.loaded >= map,
-            Verb::Cap(step) => self.cap(step),
+            Verb::Barrier(step) => self.set_barrier(step),
             Verb::Grant(map, step) => self.grant(map, step),
         };
         match (done, verb) {
@@ -78,13 +78,13 @@
 
     /// Whether an order may be carried out by this life, now.
     fn is_current(&self, order: &Order) -> bool {
-        let late = (order.epoch, order.round) < (self.epoch, self.round);
+        let is_stale = (order.epoch, order.round) < (self.epoch, self.round);
         let seals = order.verb == Verb::Seal;
         // The predecessor must be sealed first, or two could act at once.
         let unsealed = order.epoch > self.epoch && !seals;
         // An order for a former life rests on what that one had promised.
-        let other_life = order.life != Some(self.incarnation) && !seals;
-        !late && !unsealed && !other_life
+        let other_incarnation = order.incarnation != Some(self.incarnation) && !seals;
+        !is_stale && !unsealed && !other_incarnation
     }
 
     /// The weights of a map are there.
@@ -100,7 +100,7 @@
             // A new rank of a group that goes on further ahead.
             None => self.grants.first().map(|(map, from)| (*map, *from))?,
         };
-        if self.cap.is_some_and(|cap| step >= cap) {
+        if self.barrier.is_some_and(|barrier| step >= barrier) {
             return None;
         }
         Some((step, map))
@@ -119,19 +119,19 @@
             incarnation: self.incarnation,
             epoch: self.epoch,
             grant: self.grants.last().copied(),
-            cap: self.cap,
+            barrier: self.barrier,
             begun: self.begun,
             loaded: self.loaded,
         }
     }
 
-    /// A cap may rise, not fall below what has begun, and not undo a grant.
-    fn cap(&mut self, step: Step) -> bool {
+    /// A barrier may rise, not fall below what has begun, and not undo a grant.
+    fn set_barrier(&mut self, step: Step) -> bool {
         let granted_past = self.grants.last().is_some_and(|(_, from)| *from >= step);
         if step <= self.begun || granted_past {
             return false;
         }
-        self.cap = Some(step);
+        self.barrier = Some(step);
         true
     }
 
@@ -139,26 +139,26 @@
         if self.grants.last() == Some(&(map, step)) {
             return true;
         }
-        // A first grant may begin anywhere; a later one only where the cap has
+        // A first grant may begin anywhere; a later one only where the barrier has
         // kept the rank from going on.
-        let joins = match (self.grants.last(), self.cap) {
+        let is_allowed = match (self.grants.last(), self.barrier) {
             (None, _) => true,
-            (Some(_), Some(cap)) => step >= cap && step > self.begun,
+            (Some(_), Some(barrier)) => step >= barrier && step > self.begun,
             (Some(_), None) => false,
         };
-        if !joins || self.loaded < map {
+        if !is_allowed || self.loaded < map {
             return false;
         }
-        if let Some(cap) = self.cap.take() {
-            self.skip(cap, step);
+        if let Some(barrier) = self.barrier.take() {
+            self.skip(barrier, step);
         }
         self.grants.push((map, step));
         true
     }
 
-    /// Steps from the cap up to the new grant are never run.
-    fn skip(&mut self, cap: Step, step: Step) {
-        if step > cap {
+    /// Steps from the barrier up to the new grant are never run.
+    fn skip(&mut self, barrier: Step, step: Step) {
+        if step > barrier {
             self.grants.clear();
         }
     }
--- a/crates/mastweir-test-support/src/ranks.rs
+++ b/crates/mastweir-test-support/src/ranks.rs
@@ -109,7 +109,7 @@
         let rank = usize::from(order.rank);
         let mut state = lock(&self.state);
         let Some(held) = state.ranks.get_mut(rank) else { return RankReply::NotReady };
-        let reply = held.on(&order.order);
+        let reply = held.on_order(&order.order);
         if let (RankReply::Busy(_), Verb::Prepare(map)) = (reply, order.order.verb) {
             self.load(rank, map);
         }
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -9,7 +9,7 @@
 use crate::objects::{Collection, InstanceRole, Object, PlatformError};
 use mastweir_core::{
     switch::{
-        Coordinator, Holding, Lease, LeaseRecord, MapVersion, Progress, RankOrder, RankReply,
+        Coordinator, Lease, LeasePlan, LeaseRecord, MapVersion, Progress, RankOrder, RankReply,
     },
     time::Uptime,
     wire::{FromAgent, ToAgent},
@@ -145,9 +145,9 @@
         };
         let sent = context.clock.now();
         let record = match self.lease.plan(read.as_ref().map(|object| &object.spec), sent) {
-            Holding::Write(record) => record,
-            Holding::Wait => {
-                self.lease.lost();
+            LeasePlan::Write(record) => record,
+            LeasePlan::Wait => {
+                self.lease.mark_lost();
                 return Ok(());
             }
         };
@@ -161,8 +161,8 @@
             }
         };
         match written {
-            Ok(_) => self.lease.landed(&record, sent),
-            Err(PlatformError::Conflict(_) | PlatformError::Exists(_)) => self.lease.lost(),
+            Ok(_) => self.lease.mark_written(&record, sent),
+            Err(PlatformError::Conflict(_) | PlatformError::Exists(_)) => self.lease.mark_lost(),
             // It may have landed: the next look tells, by the operation's record.
             Err(error) => return Err(error),
         }
@@ -221,7 +221,7 @@
             decide(&self.shared, &self.group, &format!("switch to map {}", map.0), "wanted");
         }
         let late = self.begun_at.is_some_and(|at| now.since(at) > GIVE_UP);
-        if late && coordinator.give_up() {
+        if late && coordinator.abort() {
             self.counts.given_up += 1;
             self.begun_at = None;
             lock(&self.shared.wanted).remove(&self.group);
@@ -245,7 +245,7 @@
             if self.lease.epoch(self.shared.context.clock.now()) != Some(epoch) {
                 return;
             }
-            coordinator.on(rank, &order, reply);
+            coordinator.on_reply(rank, &order, reply);
         }
         let switched = matches!(before, Progress::Granting(..))
             && matches!(coordinator.progress(), Progress::Steady(_));
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -155,7 +155,7 @@
             own: self.own_rank(),
             token: self.shared.token,
             predecessor: self.predecessor(&states),
-            lookahead: self.loss.ahead(states.len(), self.sidecar.pass_ms.get()),
+            lookahead: self.loss.lookahead(states.len(), self.sidecar.pass_ms.get()),
         };
         let act = decide(view, self.wanted.as_ref().map(|(wanted, _)| wanted));
         match act {
@@ -288,9 +288,9 @@
             if let (Some(version), Some(OrderOutcome::Accepted)) = (loads, reply.taken) {
                 ranks.loads(rank, version, epoch, now);
             }
-            (0..reply.unanswered).for_each(|_| self.loss.note(false, now));
+            (0..reply.unanswered).for_each(|_| self.loss.record(false, now));
             if !reply.lacks && (reply.taken.is_some() || reply.unanswered == 0) {
-                self.loss.note(reply.taken.is_some(), now);
+                self.loss.record(reply.taken.is_some(), now);
             }
             self.fenced |= reply.taken == Some(OrderOutcome::Fenced);
             let Some(seen) = ranks.get(rank) else { continue };
--- a/src/mastweir/sidecar/lead.rs
+++ b/src/mastweir/sidecar/lead.rs
@@ -16,7 +16,7 @@
     gateway::message::{GroupView, Message},
     platform::{lease::StoredLease, store::StoreError},
 };
-use mastweir_core::switch::election::{Election, LEAD_LASTS};
+use mastweir_core::switch::election::{COORDINATOR_TIMEOUT, Election};
 use slog::{info, warn};
 use std::{
     cell::{Cell, RefCell},
@@ -81,14 +81,14 @@
 fn note_heard(sidecar: &Sidecar, group: &str, election: &mut Election) {
     let heard = sidecar.heard.borrow();
     if let Some(heard) = heard.as_ref().filter(|heard| heard.leads(group)) {
-        election.heard(heard.token, heard.at);
+        election.coordinator_seen(heard.token, heard.at);
     }
 }
 
 /// Whether a gateway has heard of another coordinator just now.
 fn is_led(sidecar: &Sidecar, view: &GroupView) -> bool {
     let Some(lead) = view.lead.clone() else { return false };
-    let is_fresh = u128::from(lead.age_ms) < LEAD_LASTS.as_millis();
+    let is_fresh = u128::from(lead.age_ms) < COORDINATOR_TIMEOUT.as_millis();
     let is_other = lead.ip != sidecar.ip;
     sidecar.hear_of(lead);
     is_fresh && is_other
--- a/tests/testsuite/elections.rs
+++ b/tests/testsuite/elections.rs
@@ -98,7 +98,7 @@
     fn polled(&mut self, at: usize, token: u64) {
         let now = self.now();
         let rank = &mut self.ranks[at];
-        rank.election.heard(token, now);
+        rank.election.coordinator_seen(token, now);
         if rank.leads.as_ref().is_some_and(|(own, _)| *own < token) {
             rank.leads = None;
             rank.election.restart(now);
@@ -108,7 +108,7 @@
     fn poll(&mut self, lead: usize) {
         let now = self.now();
         let Some((token, mut members)) = self.ranks[lead].leads.take() else { return };
-        self.ranks[lead].election.heard(token, now);
+        self.ranks[lead].election.coordinator_seen(token, now);
         for section in subtrees(&members, now) {
             let (head, rest) = (number(section[0]), &section[1..]);
             if head != lead && !self.passes(head) {
@@ -247,7 +247,7 @@
 fn a_lease_just_taken_is_left_to_its_holder() {
     let at = Uptime::from_millis;
     let mut election = Election::new(at(0));
-    election.heard(4, at(10_000));
+    election.coordinator_seen(4, at(10_000));
     expect_that!(election.is_due(3, 8, at(10_700)), eq(true));
     expect_that!(election.defers_to(5, at(10_710)), eq(true));
     expect_that!(election.is_due(3, 8, at(11_300)), eq(false));
--- a/tests/testsuite/fuzz_lease.rs
+++ b/tests/testsuite/fuzz_lease.rs
@@ -5,7 +5,7 @@
 use mastweir_core::{
     id::{Fence, Incarnation},
     member::{Heard, Life, Members, Timing},
-    switch::{Holding, Lease, LeaseRecord},
+    switch::{Lease, LeasePlan, LeaseRecord},
     time::Uptime,
 };
 use proptest::{prelude::*, test_runner::Config};
@@ -50,20 +50,20 @@
                 let version = stored.as_ref().map_or(0, |(version, _)| *version);
                 let record = stored.as_ref().map(|(_, record)| record);
                 planned[*i] = match leases[*i].plan(record, now) {
-                    Holding::Write(record) => Some((version, record, now)),
-                    Holding::Wait => None,
+                    LeasePlan::Write(record) => Some((version, record, now)),
+                    LeasePlan::Wait => None,
                 };
             }
             Step::Write(i, lost) => {
                 let Some((version, record, sent)) = planned[*i].take() else { continue };
                 let current = stored.as_ref().map_or(0, |(version, _)| *version);
                 if version != current {
-                    leases[*i].lost();
+                    leases[*i].mark_lost();
                     continue;
                 }
                 stored = Some((version + 1, record.clone()));
                 if !lost {
-                    leases[*i].landed(&record, sent);
+                    leases[*i].mark_written(&record, sent);
                 }
             }
             Step::Pass(millis) => now = now + Duration::from_millis(*millis),
--- a/tests/testsuite/fuzz_switch.rs
+++ b/tests/testsuite/fuzz_switch.rs
@@ -114,10 +114,10 @@
         let Message { coordinator, rank, order, reply } = message;
         match reply {
             None => {
-                let reply = Some(self.ranks[rank].on(&order));
+                let reply = Some(self.ranks[rank].on_order(&order));
                 self.messages.push(Message { reply, ..message });
             }
-            Some(reply) => self.coordinators[coordinator].on(rank, &order, reply),
+            Some(reply) => self.coordinators[coordinator].on_reply(rank, &order, reply),
         }
     }
 
@@ -200,7 +200,7 @@
                 world.coordinators[i % coordinators].begin(wanted);
             }
             Step::GiveUp(i) => {
-                world.coordinators[i % coordinators].give_up();
+                world.coordinators[i % coordinators].abort();
             }
             Step::Load(rank) => {
                 let wanted = world.wanted;
@@ -240,12 +240,12 @@
 /// began anew at a step that the others had left.
 #[test]
 fn order_for_a_former_life_is_refused() {
-    let life = Some(Incarnation(1));
-    let order = |round, verb| Order { epoch: 1, round, life, verb };
+    let incarnation = Some(Incarnation(1));
+    let order = |round, verb| Order { epoch: 1, round, incarnation, verb };
     let mut replaced = Rank::new(Incarnation(2));
     replaced.load(MapVersion(1));
-    replaced.on(&order(1, Verb::Seal));
-    let late = replaced.on(&order(2, Verb::Grant(MapVersion(1), 1)));
+    replaced.on_order(&order(1, Verb::Seal));
+    let late = replaced.on_order(&order(2, Verb::Grant(MapVersion(1), 1)));
     assert!(matches!(late, RankReply::Refused(_)));
     assert_eq!(replaced.next_step(), None);
 }
@@ -254,14 +254,14 @@
 /// that has not sealed it, and one that takes orders of an earlier round.
 #[test]
 fn orders_of_an_unsealed_epoch_or_an_earlier_round_are_refused() {
-    let life = Some(Incarnation(1));
-    let order = |epoch, round, verb| Order { epoch, round, life, verb };
+    let incarnation = Some(Incarnation(1));
+    let order = |epoch, round, verb| Order { epoch, round, incarnation, verb };
     let mut rank = Rank::new(Incarnation(1));
     rank.load(MapVersion(1));
-    rank.on(&order(1, 3, Verb::Seal));
-    let unsealed = rank.on(&order(2, 4, Verb::Grant(MapVersion(1), 1)));
+    rank.on_order(&order(1, 3, Verb::Seal));
+    let unsealed = rank.on_order(&order(2, 4, Verb::Grant(MapVersion(1), 1)));
     assert!(matches!(unsealed, RankReply::Refused(_)));
-    let earlier = rank.on(&order(1, 2, Verb::Grant(MapVersion(1), 1)));
+    let earlier = rank.on_order(&order(1, 2, Verb::Grant(MapVersion(1), 1)));
     assert!(matches!(earlier, RankReply::Refused(_)));
     assert_eq!(rank.next_step(), None);
 }
--- a/tests/testsuite/map_change.rs
+++ b/tests/testsuite/map_change.rs
@@ -194,18 +194,18 @@
         let mut loss = OrderLoss::default();
         for number in 0..200_u32 {
             let answered = number * lost / 100 == (number + 1) * lost / 100;
-            loss.note(answered, Uptime::from_secs(1));
+            loss.record(answered, Uptime::from_secs(1));
         }
-        loss.rounds(ranks)
+        loss.retries(ranks)
     };
     let of = |ranks| [0, 10, 35, 90].map(|lost| rounds(lost, ranks));
     assert_eq!(of(8), [0, 1, 2, 6]);
     assert_eq!(of(32), [0, 1, 3, 6]);
     // What was lost long ago counts no more.
     let mut loss = OrderLoss::default();
-    (0..50).for_each(|_| loss.note(false, Uptime::from_secs(1)));
-    (0..50).for_each(|_| loss.note(true, Uptime::from_secs(60)));
-    assert_eq!(loss.rounds(32), 0);
+    (0..50).for_each(|_| loss.record(false, Uptime::from_secs(1)));
+    (0..50).for_each(|_| loss.record(true, Uptime::from_secs(60)));
+    assert_eq!(loss.retries(32), 0);
 }
 
 /// One more pass of a group whose passes are far too long costs more than one that
@@ -213,11 +213,11 @@
 #[test]
 fn a_pause_is_as_far_ahead_as_orders_take_and_at_the_next_pass_where_passes_are_long() {
     let sound = OrderLoss::default();
-    let of = |pass_ms| sound.ahead(12, pass_ms);
+    let of = |pass_ms| sound.lookahead(12, pass_ms);
     // An idle group seems to make quicker passes than any.
     assert_eq!([0.0, 20.0, 39.0, 60.0, 150.0].map(of), [3, 3, 3, 2, 2]);
     assert_eq!([170.0, 1_400.0].map(of), [1, 1]);
     let mut lossy = OrderLoss::default();
-    (0..40_u32).for_each(|number| lossy.note(number % 3 > 0, Uptime::from_secs(1)));
-    assert_eq!([60.0, 170.0, 1_400.0].map(|pass_ms| lossy.ahead(12, pass_ms)), [4, 2, 1]);
+    (0..40_u32).for_each(|number| lossy.record(number % 3 > 0, Uptime::from_secs(1)));
+    assert_eq!([60.0, 170.0, 1_400.0].map(|pass_ms| lossy.lookahead(12, pass_ms)), [4, 2, 1]);
 }
