--- a/crates/mastweir-core/src/member/mod.rs
+++ b/crates/mastweir-core/src/member/mod.rs
@@ -4,15 +4,15 @@
 //! and heartbeats. A member's life cycle is in its type ([`Member`]), so that a
 //! change that makes no sense, such as from gone back to alive without a new
 //! incarnation, can't be written down. [`Members`] holds one an instance, and
-//! spreads what it heard ([`Heard`]): each heartbeat names a few others, so
+//! spreads what it heard ([`Heartbeat`]): each heartbeat names a few others, so
 //! that one-way loss between two does not make a member suspect, and none has
 //! to hear from all.
 //!
 //! A process that was paused finds all others silent when it wakes. It must
 //! not judge by that, see [`Members::tick`].
 
-mod life;
 mod members;
+mod state;
 
-pub use life::{Alive, Gone, Leaving, Life, Member, Suspect};
-pub use members::{Heard, Members, Timing};
+pub use members::{Heartbeat, Members, Timing};
+pub use state::{Alive, Leaving, Member, MemberState, Removed, Suspect};
--- a/crates/mastweir-core/src/member/life.rs
+++ b/crates/mastweir-core/src/member/state.rs
@@ -4,7 +4,7 @@
 //!  Alive <--heard--- Suspect
 //!    |  ---silent-->    |
 //!    |                  | silent for long, or off the list
-//!    +--leaves--> Leaving --> Gone
+//!    +--leaves--> Leaving --> Removed
 //! ```
 
 use crate::{id::Incarnation, time::Uptime};
@@ -23,7 +23,7 @@
 
 /// Not there any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Gone;
+pub struct Removed;
 
 /// A member in state `S`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +33,13 @@
     /// Highest heartbeat of it that was heard of.
     pub beat: u64,
     /// When that was.
-    pub heard: Uptime,
+    pub last_seen: Uptime,
     state: S,
 }
 
 impl<S> Member<S> {
     fn with<T>(self, state: T) -> Member<T> {
-        Member { incarnation: self.incarnation, beat: self.beat, heard: self.heard, state }
+        Member { incarnation: self.incarnation, beat: self.beat, last_seen: self.last_seen, state }
     }
 
     /// It leaves.
@@ -47,12 +47,12 @@
         self.with(Leaving)
     }
 
-    fn hear(&mut self, beat: u64, now: Uptime) -> bool {
+    fn record(&mut self, beat: u64, now: Uptime) -> bool {
         if beat <= self.beat {
             return false;
         }
         self.beat = beat;
-        self.heard = now;
+        self.last_seen = now;
         true
     }
 }
@@ -60,7 +60,7 @@
 impl Member<Alive> {
     /// A member that was heard of first.
     pub const fn new(incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
-        Self { incarnation, beat, heard: now, state: Alive }
+        Self { incarnation, beat, last_seen: now, state: Alive }
     }
 
     /// It was silent for too long.
@@ -76,39 +76,39 @@
     }
 
     /// It was silent for so long that it counts as gone.
-    pub fn bury(self) -> Member<Gone> {
-        self.with(Gone)
+    pub fn remove(self) -> Member<Removed> {
+        self.with(Removed)
     }
 }
 
 impl Member<Leaving> {
     /// It has left.
-    pub fn bury(self) -> Member<Gone> {
-        self.with(Gone)
+    pub fn remove(self) -> Member<Removed> {
+        self.with(Removed)
     }
 }
 
 /// A member in whichever state it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum MemberState {
     /// See [`Alive`].
     Alive(Member<Alive>),
     /// See [`Suspect`].
     Suspect(Member<Suspect>),
     /// See [`Leaving`].
     Leaving(Member<Leaving>),
-    /// See [`Gone`].
-    Gone(Member<Gone>),
+    /// See [`Removed`].
+    Removed(Member<Removed>),
 }
 
-impl Life {
+impl MemberState {
     /// The incarnation that it is the life of.
     pub const fn incarnation(&self) -> Incarnation {
         match self {
             Self::Alive(member) => member.incarnation,
             Self::Suspect(member) => member.incarnation,
             Self::Leaving(member) => member.incarnation,
-            Self::Gone(member) => member.incarnation,
+            Self::Removed(member) => member.incarnation,
         }
     }
 
@@ -118,14 +118,14 @@
             Self::Alive(member) => member.beat,
             Self::Suspect(member) => member.beat,
             Self::Leaving(member) => member.beat,
-            Self::Gone(member) => member.beat,
+            Self::Removed(member) => member.beat,
         }
     }
 
     /// A heartbeat was heard of, directly or through others. Only a higher one
     /// counts; a new incarnation begins a new life.
     #[must_use]
-    pub fn hear(self, incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
+    pub fn on_heartbeat(self, incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
         if incarnation > self.incarnation() {
             return Self::Alive(Member::new(incarnation, beat, now));
         }
@@ -134,15 +134,15 @@
         }
         match self {
             Self::Alive(mut member) => {
-                member.hear(beat, now);
+                member.record(beat, now);
                 Self::Alive(member)
             }
             Self::Suspect(mut member) => {
-                let heard = member.hear(beat, now);
-                if heard { Self::Alive(member.revive()) } else { Self::Suspect(member) }
+                let is_newer = member.record(beat, now);
+                if is_newer { Self::Alive(member.revive()) } else { Self::Suspect(member) }
             }
             Self::Leaving(mut member) => {
-                member.hear(beat, now);
+                member.record(beat, now);
                 Self::Leaving(member)
             }
             other => other,
@@ -163,9 +163,15 @@
     #[must_use]
     pub fn tick(self, now: Uptime, timing: &super::Timing) -> Self {
         match self {
-            Self::Alive(m) if now.since(m.heard) > timing.suspect => Self::Suspect(m.suspect()),
-            Self::Suspect(m) if now.since(m.heard) > timing.gone => Self::Gone(m.bury()),
-            Self::Leaving(m) if now.since(m.heard) > timing.suspect => Self::Gone(m.bury()),
+            Self::Alive(m) if now.since(m.last_seen) > timing.suspect_after => {
+                Self::Suspect(m.suspect())
+            }
+            Self::Suspect(m) if now.since(m.last_seen) > timing.remove_after => {
+                Self::Removed(m.remove())
+            }
+            Self::Leaving(m) if now.since(m.last_seen) > timing.suspect_after => {
+                Self::Removed(m.remove())
+            }
             other => other,
         }
     }
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -8,7 +8,7 @@
 use crate::{
     gateway::SuspectReport,
     id::{Fence, Incarnation, OpId},
-    member::Heard,
+    member::Heartbeat,
     outcome::Refusal,
     share::{Cost, Usage},
     switch::{RankOrder, RankReply},
@@ -193,7 +193,7 @@
         /// Whether it takes no new requests.
         leaving: bool,
         /// Others that it has heard of.
-        heard: Vec<Heard>,
+        heard: Vec<Heartbeat>,
     },
     /// Service that customers received, for the fleet-wide share.
     Usage(Usage),
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -3,7 +3,7 @@
 use super::{Shared, heartbeat, lock, table, usage};
 use crate::objects::{Collection, InstanceSpec, InstanceState, WatchEvent, outage};
 use futures_util::StreamExt;
-use mastweir_core::{gateway::SuspectReport, member::Heard, wire::Packet};
+use mastweir_core::{gateway::SuspectReport, member::Heartbeat, wire::Packet};
 use rand::Rng;
 use std::{collections::BTreeMap, pin::pin, sync::Arc, time::Duration};
 use tokio::time;
@@ -50,7 +50,7 @@
             }
             Packet::Heartbeat { table, beat, leaving, heard } => {
                 let incarnation = datagram.incarnation;
-                let own = Heard { name: datagram.from.clone(), incarnation, beat, leaving };
+                let own = Heartbeat { name: datagram.from.clone(), incarnation, beat, leaving };
                 hear(&shared, &own, &heard);
                 if table::is_behind(&shared, table) {
                     fetch_from(&shared, &datagram.from);
@@ -106,12 +106,12 @@
     Ok(())
 }
 
-fn hear(shared: &Shared, own: &Heard, others: &[Heard]) {
+fn hear(shared: &Shared, own: &Heartbeat, others: &[Heartbeat]) {
     let now = shared.context.clock.now();
     let mut members = lock(&shared.members);
-    members.hear(own, now);
+    members.on_heartbeat(own, now);
     for other in others.iter().filter(|other| other.name != shared.context.name) {
-        members.hear(other, now);
+        members.on_heartbeat(other, now);
     }
 }
 
--- a/tests/testsuite/fuzz_lease.rs
+++ b/tests/testsuite/fuzz_lease.rs
@@ -4,7 +4,7 @@
 
 use mastweir_core::{
     id::{Fence, Incarnation},
-    member::{Heard, Life, Members, Timing},
+    member::{Heartbeat, MemberState, Members, Timing},
     switch::{Lease, LeasePlan, LeaseRecord},
     time::Uptime,
 };
@@ -82,14 +82,14 @@
 /// What members hear: name, incarnation, beat, whether it leaves; or time.
 #[derive(Clone, Debug)]
 enum News {
-    Heard(usize, u64, u64, bool),
+    Heartbeat(usize, u64, u64, bool),
     Pass(u64),
 }
 
 fn news() -> impl Strategy<Value = Vec<News>> {
     let heard = (0..3_usize, 1..4_u64, 1..50_u64, prop::bool::weighted(0.1));
     let news = prop_oneof![
-        4 => heard.prop_map(|(i, life, beat, leaves)| News::Heard(i, life, beat, leaves)),
+        4 => heard.prop_map(|(i, life, beat, leaves)| News::Heartbeat(i, life, beat, leaves)),
         2 => (1..20_000_u64).prop_map(News::Pass),
     ];
     prop::collection::vec(news, 1..80)
@@ -101,10 +101,13 @@
     let mut done: HashMap<String, Incarnation> = HashMap::new();
     for item in news {
         match item {
-            News::Heard(i, life, beat, leaving) => {
+            News::Heartbeat(i, life, beat, leaving) => {
                 let name = i.to_string();
                 let incarnation = Incarnation(*life);
-                members.hear(&Heard { name, incarnation, beat: *beat, leaving: *leaving }, now);
+                members.on_heartbeat(
+                    &Heartbeat { name, incarnation, beat: *beat, leaving: *leaving },
+                    now,
+                );
             }
             News::Pass(millis) => {
                 now = now + Duration::from_millis(*millis);
@@ -113,8 +116,8 @@
         }
         for i in 0..3 {
             let name = i.to_string();
-            let Some(life) = members.life(&name) else { continue };
-            let ended = matches!(life, Life::Gone(_) | Life::Leaving(_));
+            let Some(life) = members.state(&name) else { continue };
+            let ended = matches!(life, MemberState::Removed(_) | MemberState::Leaving(_));
             if ended {
                 let last = done.entry(name).or_default();
                 *last = (*last).max(life.incarnation());
@@ -150,17 +153,17 @@
 fn heartbeat_of_a_former_life_does_not_count() {
     let mut now = Uptime::from_secs(1);
     let mut members = Members::new(Timing::default(), now);
-    let heard = |life, beat| Heard {
+    let heard = |life, beat| Heartbeat {
         name: "e1".to_owned(),
         incarnation: Incarnation(life),
         beat,
         leaving: false,
     };
-    members.hear(&heard(2, 5), now);
+    members.on_heartbeat(&heard(2, 5), now);
     for _ in 0..8 {
         now = now + Duration::from_secs(1);
         members.tick(now);
-        members.hear(&heard(1, 100), now);
+        members.on_heartbeat(&heard(1, 100), now);
     }
     assert!(!members.is_present("e1"));
 }
