--- a/crates/mastweir-core/src/gateway/config.rs
+++ b/crates/mastweir-core/src/gateway/config.rs
@@ -58,7 +58,7 @@
 
 impl Route {
     /// Whether a request may run again after it may have run.
-    pub const fn repeatable(&self) -> bool {
+    pub const fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Repeatable => true,
             Kind::Once => false,
@@ -77,9 +77,9 @@
     /// Experts in a set.
     pub experts: usize,
     /// Experts that a rank can hold in a set.
-    pub places: usize,
+    pub expert_slots: usize,
     /// Experts new to a rank in a set that one load may bring.
-    pub fresh: usize,
+    pub max_new: usize,
     /// Seconds that loading one expert takes a rank.
     pub load_s: f64,
     /// Megabytes of one expert.
@@ -98,7 +98,7 @@
     /// Milliseconds more for each request that runs at a rank.
     pub request_ms: f64,
     /// Part of this work that is done by experts, 0 to 1.
-    pub expert_part: f64,
+    pub expert_fraction: f64,
 }
 
 impl PassCost {
@@ -106,7 +106,7 @@
     /// average, and the most loaded rank's part of the experts' work over the mean.
     pub fn pass_ms(&self, running: f64, skew: f64) -> f64 {
         let work = self.steps * (self.step_ms + self.request_ms * running);
-        work * (1.0 - self.expert_part + self.expert_part * skew)
+        work * (1.0 - self.expert_fraction + self.expert_fraction * skew)
     }
 }
 
--- a/crates/mastweir-core/src/gateway/pace.rs
+++ b/crates/mastweir-core/src/gateway/deferral.rs
@@ -17,7 +17,7 @@
 
 /// Time from its arrival for which a stream is held back at most, where passes take so
 /// long: as long as its first event will still be in time.
-pub fn held(pass_ms: f64, gap_ms: f64, objective: Duration) -> Duration {
+pub fn max_deferral(pass_ms: f64, gap_ms: f64, objective: Duration) -> Duration {
     if gap_ms <= 0.0 || pass_ms <= gap_ms * PASS_PART {
         return Duration::ZERO;
     }
--- a/crates/mastweir-core/src/gateway/directory.rs
+++ b/crates/mastweir-core/src/gateway/directory.rs
@@ -22,7 +22,7 @@
     /// Its name, which it may keep over a restart.
     pub id: String,
     /// Names this life of it; zero if it does not say.
-    pub born: u64,
+    pub incarnation: u64,
     /// The service that it belongs to.
     pub service: String,
     /// Where it listens.
@@ -46,7 +46,7 @@
     pub servers: BTreeMap<String, Server>,
     /// Those among them that the list lacks: their entries lapsed in an outage, and
     /// they may be about to write themselves again.
-    pub lapsed: BTreeSet<String>,
+    pub expired: BTreeSet<String>,
 }
 
 /// What changed in a list of servers since a revision, or all of it: 60 bytes a server
@@ -56,13 +56,13 @@
     /// Revision up to which it goes.
     pub revision: Revision,
     /// Whether these are all servers.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Servers that are new or have changed.
     pub servers: Vec<Server>,
     /// Ids of those that are gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
     /// Ids of those that lapsed.
-    pub lapsed: BTreeSet<String>,
+    pub expired: BTreeSet<String>,
 }
 
 impl Directory {
@@ -70,13 +70,13 @@
     /// a copy that lacks it, stays lapsed until the change names it.
     #[must_use]
     pub fn changed(&self, change: DirectoryChange) -> Self {
-        let DirectoryChange { revision, whole, servers, gone, mut lapsed } = change;
-        let mut all = if whole { BTreeMap::new() } else { self.servers.clone() };
-        gone.iter().for_each(|id| drop(all.remove(id)));
+        let DirectoryChange { revision, is_complete, servers, removed, mut expired } = change;
+        let mut all = if is_complete { BTreeMap::new() } else { self.servers.clone() };
+        removed.iter().for_each(|id| drop(all.remove(id)));
         let is_named = |id: &String| servers.iter().any(|server| server.id == *id);
-        let still = self.lapsed.iter().filter(|id| all.contains_key(*id) && !is_named(id));
-        lapsed.extend(still.cloned());
+        let still = self.expired.iter().filter(|id| all.contains_key(*id) && !is_named(id));
+        expired.extend(still.cloned());
         all.extend(servers.into_iter().map(|server| (server.id.clone(), server)));
-        Self { revision, servers: all, lapsed }
+        Self { revision, servers: all, expired }
     }
 }
--- a/crates/mastweir-core/src/gateway/events.rs
+++ b/crates/mastweir-core/src/gateway/event_splitter.rs
@@ -10,24 +10,24 @@
 
 /// Splits a stream's bytes at the ends of events, and remembers the last id.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
-    part: Vec<u8>,
+pub struct EventSplitter {
+    partial: Vec<u8>,
     last_id: Option<String>,
 }
 
-impl Events {
+impl EventSplitter {
     /// A stream that goes on behind `last_id`, if it does.
     pub fn after(last_id: Option<String>) -> Self {
-        Self { part: Vec::new(), last_id }
+        Self { partial: Vec::new(), last_id }
     }
 
     /// Takes bytes in; gives those up to the end of the last whole event.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-        let searched = self.part.len().saturating_sub(3);
-        self.part.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.part, searched) else { return Vec::new() };
-        let rest = self.part.split_off(end);
-        let whole = mem::replace(&mut self.part, rest);
+        let searched = self.partial.len().saturating_sub(3);
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = last_end(&self.partial, searched) else { return Vec::new() };
+        let rest = self.partial.split_off(end);
+        let whole = mem::replace(&mut self.partial, rest);
         if let Some(id) = last_id(&whole) {
             self.last_id = Some(id);
         }
@@ -40,18 +40,18 @@
     }
 
     /// Whether no event is half there.
-    pub fn is_whole(&self) -> bool {
-        self.part.is_empty()
+    pub fn is_at_boundary(&self) -> bool {
+        self.partial.is_empty()
     }
 
     /// Whether the event that is half there has grown past any sense.
     pub fn is_oversized(&self) -> bool {
-        self.part.len() > EVENT_BYTES_MAX
+        self.partial.len() > EVENT_BYTES_MAX
     }
 
     /// Forgets the event that is half there: another server goes on.
-    pub fn drop_part(&mut self) {
-        self.part.clear();
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 }
 
--- a/crates/mastweir-core/src/gateway/permit_requester.rs
+++ b/crates/mastweir-core/src/gateway/permit_requester.rs
@@ -107,7 +107,7 @@
         self.expire_sent(now);
         let mut wants: BTreeMap<IpAddr, Vec<(String, u32)>> = BTreeMap::new();
         for (service, count) in std::mem::take(&mut self.demand) {
-            let missing = fleet.tokens_missing(&service, now);
+            let missing = fleet.permits_missing(&service, now);
             let servers: Vec<&Server> = missing
                 .choose_multiple(rng, SERVERS_PER_ROUND.min(count as usize))
                 .copied()
--- a/crates/mastweir-core/src/gateway/roster.rs
+++ b/crates/mastweir-core/src/gateway/registry.rs
@@ -14,36 +14,36 @@
 /// for this long: those that live are back within two seconds. Dropped at once, all
 /// requests meet the first few that are back: 55 of 160 in the two seconds behind an
 /// outage of 6.2 s were late, none with it.
-const LAPSED_LASTS: Duration = Duration::from_millis(2_200);
+const EXPIRED_LASTS: Duration = Duration::from_millis(2_200);
 
 /// An entry of a server that is gone, back from an older copy of the list, goes within three
 /// of its heartbeats, which are 1.2 s apart, and some time on the way.
 const RETURNED_LASTS: Duration = Duration::from_secs(5);
 
 /// Servers that left and are remembered, for gateways that lack just what changed since.
-const GONE_KEPT: usize = 512;
+const REMOVED_MAX: usize = 512;
 
 /// The servers that there are.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Roster {
+pub(super) struct ServerRegistry {
     directory: Directory,
     by_service: HashMap<String, Vec<String>>,
     /// The newest life at each address.
     by_addr: HashMap<SocketAddr, String>,
     /// Servers that left, with the revision of the list that lacked them first.
-    gone: VecDeque<(Revision, String)>,
+    removed: VecDeque<(Revision, String)>,
     /// Revision since which all that left are remembered.
-    gone_since: Revision,
+    removed_since: Revision,
     /// Those that took requests and are listed no more, and since when.
     missing: HashMap<String, (Server, Uptime)>,
     /// Until when servers that lapsed are used.
-    lapsed: HashMap<String, Uptime>,
+    expired: HashMap<String, Uptime>,
     /// Servers that had left and are in an older copy of the list as before, with the
     /// revision of that entry and until when it tells nothing.
     returned: HashMap<String, (Revision, Uptime)>,
 }
 
-impl Roster {
+impl ServerRegistry {
     /// The list in force, with those that lapsed.
     pub(super) const fn directory(&self) -> &Directory {
         &self.directory
@@ -71,24 +71,24 @@
             return false;
         }
         let is_copy = self.directory.revision.is_some()
-            && directory.revision.era > self.directory.revision.era;
+            && directory.revision.generation > self.directory.revision.generation;
         if is_copy {
             self.note_returned(&directory, now);
         }
         // What an older copy lacks may have been written behind it, and is written again.
-        let may_lapse = after_outage || is_copy;
+        let may_reappear = after_outage || is_copy;
         let old = std::mem::replace(&mut self.directory, directory);
-        self.note_gone(&old);
-        let until = now + LAPSED_LASTS;
-        for id in &self.directory.lapsed {
-            self.lapsed.entry(id.clone()).or_insert(until);
+        self.note_removed(&old);
+        let until = now + EXPIRED_LASTS;
+        for id in &self.directory.expired {
+            self.expired.entry(id.clone()).or_insert(until);
         }
         for (id, server) in old.servers {
             if server.state == ServerState::Ready && !self.directory.servers.contains_key(&id) {
-                self.lacks(id, server, may_lapse.then_some(until), now);
+                self.note_unlisted(id, server, may_reappear.then_some(until), now);
             }
         }
-        self.lapsed.retain(|id, _| self.directory.lapsed.contains(id));
+        self.expired.retain(|id, _| self.directory.expired.contains(id));
         self.missing.retain(|id, _| !self.directory.servers.contains_key(id));
         self.index();
         true
@@ -101,16 +101,17 @@
 
     /// What changed since a revision.
     pub(super) fn changes_since(&self, revision: Revision) -> DirectoryChange {
-        let Directory { servers, lapsed, revision: now } = &self.directory;
-        let whole = revision < self.gone_since || !revision.is_some();
-        let changed = servers.values().filter(|server| whole || server.changed > revision);
-        let gone = self.gone.iter().filter(|(at, id)| *at > revision && !servers.contains_key(id));
+        let Directory { servers, expired, revision: now } = &self.directory;
+        let is_complete = revision < self.removed_since || !revision.is_some();
+        let changed = servers.values().filter(|server| is_complete || server.changed > revision);
+        let removed =
+            self.removed.iter().filter(|(at, id)| *at > revision && !servers.contains_key(id));
         DirectoryChange {
             revision: *now,
-            whole,
+            is_complete,
             servers: changed.cloned().collect(),
-            gone: gone.map(|(_, id)| id.clone()).collect(),
-            lapsed: lapsed.clone(),
+            removed: removed.map(|(_, id)| id.clone()).collect(),
+            expired: expired.clone(),
         }
     }
 
@@ -118,11 +119,11 @@
     /// nothing until they are written again, or have outlived what would end them.
     fn note_returned(&mut self, directory: &Directory, now: Uptime) {
         let until = now + RETURNED_LASTS;
-        let had_left = |id: &String| match self.directory.servers.get(id) {
+        let was_removed = |id: &String| match self.directory.servers.get(id) {
             Some(server) => server.state == ServerState::Leaving || self.has_returned(id, now),
-            None => self.gone.iter().any(|(_, gone)| gone == id),
+            None => self.removed.iter().any(|(_, removed)| removed == id),
         };
-        let returned = directory.servers.values().filter(|server| had_left(&server.id));
+        let returned = directory.servers.values().filter(|server| was_removed(&server.id));
         self.returned =
             returned.map(|server| (server.id.clone(), (server.changed, until))).collect();
     }
@@ -136,33 +137,33 @@
 
     /// The list in force was read as a whole: a server that came and went since the one
     /// before was never seen, so that nothing tells who else still has it.
-    pub(super) fn forget_between(&mut self) {
-        self.gone_since = self.directory.revision;
+    pub(super) fn forget_removals(&mut self) {
+        self.removed_since = self.directory.revision;
     }
 
     /// Servers went, whether or not they were ever in the list here.
-    pub(super) fn went(&mut self, ids: &[String], revision: Revision) {
-        let is_known = |id: &&String| self.gone.contains(&(revision, (*id).clone()));
+    pub(super) fn record_removed(&mut self, ids: &[String], revision: Revision) {
+        let is_known = |id: &&String| self.removed.contains(&(revision, (*id).clone()));
         let unseen: Vec<String> = ids.iter().filter(|id| !is_known(id)).cloned().collect();
-        self.note_left(unseen, revision);
+        self.remember_removed(unseen, revision);
     }
 
-    fn note_left(&mut self, ids: Vec<String>, revision: Revision) {
-        self.gone.extend(ids.into_iter().map(|id| (revision, id)));
-        while self.gone.len() > GONE_KEPT {
-            self.gone_since = self.gone.pop_front().map_or(self.gone_since, |(at, _)| at);
+    fn remember_removed(&mut self, ids: Vec<String>, revision: Revision) {
+        self.removed.extend(ids.into_iter().map(|id| (revision, id)));
+        while self.removed.len() > REMOVED_MAX {
+            self.removed_since = self.removed.pop_front().map_or(self.removed_since, |(at, _)| at);
         }
     }
 
-    fn note_gone(&mut self, old: &Directory) {
+    fn note_removed(&mut self, old: &Directory) {
         let Directory { revision, servers, .. } = &self.directory;
         let revision = *revision;
-        let gone = old.servers.keys().filter(|id| !servers.contains_key(*id)).cloned().collect();
-        // Of another era's list nothing tells what has changed since.
-        if old.revision.era < revision.era || !old.revision.is_some() {
-            self.gone_since = revision;
+        let removed = old.servers.keys().filter(|id| !servers.contains_key(*id)).cloned().collect();
+        // Of another generation's list nothing tells what has changed since.
+        if old.revision.generation < revision.generation || !old.revision.is_some() {
+            self.removed_since = revision;
         }
-        self.note_left(gone, revision);
+        self.remember_removed(removed, revision);
     }
 
     /// A server that the list lost a moment ago: better than none.
@@ -179,39 +180,40 @@
     }
 
     /// Drops servers that lapsed and did not come back; gives their ids.
-    pub(super) fn drop_lapsed(&mut self, now: Uptime) -> Vec<String> {
-        let is_gone = |id: &&String| self.has_lapsed(id, now);
-        let gone: Vec<String> = self.directory.lapsed.iter().filter(is_gone).cloned().collect();
-        for id in &gone {
-            self.gone.push_back((self.directory.revision, id.clone()));
-            self.lapsed.remove(id);
-            self.directory.lapsed.remove(id);
+    pub(super) fn drop_expired(&mut self, now: Uptime) -> Vec<String> {
+        let is_expired = |id: &&String| self.has_expired(id, now);
+        let removed: Vec<String> =
+            self.directory.expired.iter().filter(is_expired).cloned().collect();
+        for id in &removed {
+            self.removed.push_back((self.directory.revision, id.clone()));
+            self.expired.remove(id);
+            self.directory.expired.remove(id);
             self.directory.servers.remove(id);
         }
-        if !gone.is_empty() {
+        if !removed.is_empty() {
             self.index();
         }
-        gone
+        removed
     }
 
     /// Whether a server's entry, or the time since it lapsed, still says that it serves.
     pub(super) fn is_current(&self, id: &str, now: Uptime) -> bool {
-        !self.has_lapsed(id, now) && !self.has_returned(id, now)
+        !self.has_expired(id, now) && !self.has_returned(id, now)
     }
 
     /// Whether a server lapsed so long ago that it is gone.
-    fn has_lapsed(&self, id: &str, now: Uptime) -> bool {
-        self.lapsed.get(id).is_some_and(|until| *until <= now)
+    fn has_expired(&self, id: &str, now: Uptime) -> bool {
+        self.expired.get(id).is_some_and(|until| *until <= now)
     }
 
     /// A server that took requests is no longer listed; `lapses` if that may be for
     /// the moment.
-    fn lacks(&mut self, id: String, server: Server, lapses: Option<Uptime>, now: Uptime) {
-        let until = lapses.or_else(|| self.lapsed.get(&id).copied());
+    fn note_unlisted(&mut self, id: String, server: Server, expires: Option<Uptime>, now: Uptime) {
+        let until = expires.or_else(|| self.expired.get(&id).copied());
         match until.filter(|until| *until > now) {
             Some(until) => {
-                self.lapsed.insert(id.clone(), until);
-                self.directory.lapsed.insert(id.clone());
+                self.expired.insert(id.clone(), until);
+                self.directory.expired.insert(id.clone());
                 self.directory.servers.insert(id, server);
             }
             None => {
--- a/crates/mastweir-core/src/gateway/waits.rs
+++ b/crates/mastweir-core/src/gateway/retry_detector.rs
@@ -16,12 +16,12 @@
 
 /// The longest times of each route's callers.
 #[derive(Clone, Debug, Default)]
-pub struct Waits(HashMap<String, f64>);
+pub struct RetryDetector(HashMap<String, f64>);
 
-impl Waits {
+impl RetryDetector {
     /// Takes in how long a caller of a route waits; whether it was refused before, as far as
     /// that shows.
-    pub fn has_returned(&mut self, route: &str, wait: Duration) -> bool {
+    pub fn is_retry(&mut self, route: &str, wait: Duration) -> bool {
         let wait = wait.as_secs_f64();
         if self.0.len() >= ROUTES_MAX && !self.0.contains_key(route) {
             self.0.clear();
--- a/crates/mastweir-core/src/gateway/seen.rs
+++ b/crates/mastweir-core/src/gateway/status.rs
@@ -6,29 +6,29 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A server whose sidecar reported, and has been silent for this long, is taken for
+/// A server whose sidecar from_sidecar, and has been silent for this long, is taken for
 /// one that can't be reached; three reports are missing by then.
-pub(super) const SILENT_FROM: Duration = Duration::from_millis(700);
+pub(super) const SILENT_AFTER: Duration = Duration::from_millis(700);
 /// A report older than this is not used; four of them are missing by then.
 pub(super) const REPORT_LASTS: Duration = Duration::from_millis(1_000);
 /// Until then its silence counts; later its sidecar may just not be there.
 const SILENT_UNTIL: Duration = Duration::from_secs(10);
-/// The same for a server that never reported here while most others of its service
+/// The same for a server that never from_sidecar here while most others of its service
 /// do: a gateway that has just started can't tell whether it ever did. The users'
 /// instances stand still for four seconds and more.
-const UNHEARD_UNTIL: Duration = Duration::from_secs(4);
+const UNREPORTED_UNTIL: Duration = Duration::from_secs(4);
 /// Time for which it is left out, and for which the first connection that did not
 /// open counts; each further one doubles it.
-const LEFT_OUT: Duration = Duration::from_millis(1_000);
+const BACKOFF: Duration = Duration::from_millis(1_000);
 /// The longest: a hall that was cut off is back in use soon after.
-const LEFT_OUT_MAX: Duration = Duration::from_secs(4);
+const BACKOFF_MAX: Duration = Duration::from_secs(4);
 
 /// Times that are kept: more requests than a server has places, since a report of it.
-const TIMES_KEPT: usize = 64;
+const TIMES_MAX: usize = 64;
 
 /// What a server's sidecar reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LoadReport {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -47,7 +47,7 @@
     /// if that is not known.
     pub pace_milli: u32,
     /// Life of the server that it saw; zero if that does not say.
-    pub born: u64,
+    pub incarnation: u64,
     /// Whether the server says that it leaves.
     pub leaving: bool,
     /// The limit that it names, if it does.
@@ -56,13 +56,13 @@
 
 /// A server, as this gateway sees it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct ServerStatus {
     /// Its life, and the one before, as far as the list or its sidecar named them. They
     /// are no times here: two of them are the same life, or not.
-    pub(super) born: u64,
-    pub(super) former: u64,
+    pub(super) incarnation: u64,
+    pub(super) previous: u64,
     /// When the list first named it here.
-    pub(super) listed: Option<Uptime>,
+    pub(super) listed_at: Option<Uptime>,
     /// Requests of this gateway there.
     pub(super) in_flight: u32,
     /// When requests were sent there that the last report can't have counted.
@@ -70,106 +70,113 @@
     /// When requests ended there that it still counted.
     pub(super) ended: Vec<Uptime>,
     /// What it said last, and when.
-    pub(super) told: Option<(Uptime, Told)>,
+    pub(super) report: Option<(Uptime, LoadReport)>,
     /// When another gateway, or its sidecar, last told of it.
-    pub(super) mentioned: Uptime,
+    pub(super) last_mention: Uptime,
     /// Whether that came from a sidecar, which goes on reporting.
-    pub(super) reported: bool,
+    pub(super) from_sidecar: bool,
     /// Whether its sidecar's reports have named a limit: then one that names none tells that
     /// it has ended.
     pub(super) reports_limit: bool,
     /// Requests in a row that got no whole answer.
     pub(super) failures: u32,
     /// When it was left out for that.
-    pub(super) left_out: Option<Uptime>,
+    pub(super) failing_since: Option<Uptime>,
     /// Connections in a row that did not open, and when the last one did not.
-    pub(super) unopened: u32,
-    pub(super) unopened_at: Uptime,
+    pub(super) connect_failures: u32,
+    pub(super) connect_failed: Uptime,
 }
 
-impl Seen {
+impl ServerStatus {
     /// The list, or a report, names the server's life. Behind a start all that was known
     /// of the life before is gone with it. False for what tells of that one, late.
-    pub(super) fn enter(&mut self, born: u64) -> bool {
-        if born == 0 || born == self.born {
+    pub(super) fn set_incarnation(&mut self, incarnation: u64) -> bool {
+        if incarnation == 0 || incarnation == self.incarnation {
             return true;
         }
-        if born == self.former {
+        if incarnation == self.previous {
             return false;
         }
-        if self.born == 0 {
-            self.born = born;
+        if self.incarnation == 0 {
+            self.incarnation = incarnation;
         } else {
-            *self = Self { born, former: self.born, listed: self.listed, ..Self::default() };
+            *self = Self {
+                incarnation,
+                previous: self.incarnation,
+                listed_at: self.listed_at,
+                ..Self::default()
+            };
         }
         true
     }
 
     /// Whether a life is over: another has begun since.
-    pub(super) const fn is_over(&self, born: u64) -> bool {
-        born != 0 && born != self.born
+    pub(super) const fn is_superseded(&self, incarnation: u64) -> bool {
+        incarnation != 0 && incarnation != self.incarnation
     }
 
     /// Takes in what its sidecar said at a time, unless something newer is known.
-    pub(super) fn told_by_sidecar(&mut self, told: Told, at: Uptime, now: Uptime) {
-        self.mentioned = now;
-        let older = |(known, _): &(Uptime, Told)| self.reported && *known > at;
-        if self.told.as_ref().is_some_and(older) {
+    pub(super) fn set_report(&mut self, report: LoadReport, at: Uptime, now: Uptime) {
+        self.last_mention = now;
+        let older = |(known, _): &(Uptime, LoadReport)| self.from_sidecar && *known > at;
+        if self.report.as_ref().is_some_and(older) {
             return;
         }
-        self.told = Some((at, told));
-        self.reported = true;
-        self.unopened = self.unopened.min(1);
-        self.forget_before(at);
+        self.report = Some((at, report));
+        self.from_sidecar = true;
+        self.connect_failures = self.connect_failures.min(1);
+        self.discard_before(at);
     }
 
-    pub(super) fn note_sent(&mut self, now: Uptime) {
+    pub(super) fn record_sent(&mut self, now: Uptime) {
         note(&mut self.sent, now);
     }
 
-    pub(super) fn note_ended(&mut self, now: Uptime) {
+    pub(super) fn record_ended(&mut self, now: Uptime) {
         note(&mut self.ended, now);
     }
 
     /// Forgets what was sent and what ended before the last report: it counted that.
-    pub(super) fn forget_before(&mut self, at: Uptime) {
+    pub(super) fn discard_before(&mut self, at: Uptime) {
         self.sent.retain(|sent| *sent > at);
         self.ended.retain(|ended| *ended > at);
     }
 
     /// Whether its sidecar fell silent, as far as was heard `until` then, or, where
     /// sidecars are `usual`, was never heard.
-    pub(super) fn is_silent(&self, usual: bool, until: Uptime, now: Uptime) -> bool {
-        match (&self.told, self.listed) {
-            (Some((at, _)), _) if self.reported => {
-                (SILENT_FROM..SILENT_UNTIL).contains(&until.since(*at))
+    pub(super) fn is_silent(&self, most_report: bool, until: Uptime, now: Uptime) -> bool {
+        match (&self.report, self.listed_at) {
+            (Some((at, _)), _) if self.from_sidecar => {
+                (SILENT_AFTER..SILENT_UNTIL).contains(&until.since(*at))
+            }
+            (_, Some(at)) if most_report => {
+                (SILENT_AFTER..UNREPORTED_UNTIL).contains(&now.since(at))
             }
-            (_, Some(at)) if usual => (SILENT_FROM..UNHEARD_UNTIL).contains(&now.since(at)),
             _ => false,
         }
     }
 
     /// Whether requests there failed lately.
     pub(super) fn is_failing(&self, now: Uptime) -> bool {
-        self.left_out.is_some_and(|since| now.since(since) < LEFT_OUT)
+        self.failing_since.is_some_and(|since| now.since(since) < BACKOFF)
     }
 
     /// Whether connections to it did not open lately.
-    pub(super) fn is_closed(&self, now: Uptime) -> bool {
-        let Some(doubled) = self.unopened.checked_sub(1) else { return false };
-        let lasts = LEFT_OUT * 2_u32.pow(doubled.min(8));
-        now.since(self.unopened_at) < lasts.min(LEFT_OUT_MAX)
+    pub(super) fn is_unconnectable(&self, now: Uptime) -> bool {
+        let Some(doubled) = self.connect_failures.checked_sub(1) else { return false };
+        let lasts = BACKOFF * 2_u32.pow(doubled.min(8));
+        now.since(self.connect_failed) < lasts.min(BACKOFF_MAX)
     }
 
     /// When it will count as silent unless it is heard before.
     pub(super) fn silent_at(&self) -> Option<Uptime> {
-        let (at, _) = self.told.as_ref().filter(|_| self.reported)?;
-        Some(*at + SILENT_FROM)
+        let (at, _) = self.report.as_ref().filter(|_| self.from_sidecar)?;
+        Some(*at + SILENT_AFTER)
     }
 }
 
 fn note(times: &mut Vec<Uptime>, now: Uptime) {
-    if times.len() >= TIMES_KEPT {
+    if times.len() >= TIMES_MAX {
         times.remove(0);
     }
     times.push(now);
--- a/crates/mastweir-core/src/revision.rs
+++ b/crates/mastweir-core/src/revision.rs
@@ -14,26 +14,26 @@
 )]
 pub struct Revision {
     /// How often the store came back from a copy; zero of a store that does not say.
-    pub era: u64,
+    pub generation: u64,
     /// Its changes, as it counts them.
     pub number: u64,
 }
 
 impl Revision {
     /// A revision of an era.
-    pub const fn new(era: u64, number: u64) -> Self {
-        Self { era, number }
+    pub const fn new(generation: u64, number: u64) -> Self {
+        Self { generation, number }
     }
 
     /// Whether anything was ever heard of the store.
     pub const fn is_some(self) -> bool {
-        self.era > 0 || self.number > 0
+        self.generation > 0 || self.number > 0
     }
 }
 
 impl fmt::Display for Revision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { era, number } = self;
-        if *era == 0 { write!(f, "{number}") } else { write!(f, "{era}.{number}") }
+        let Self { generation, number } = self;
+        if *generation == 0 { write!(f, "{number}") } else { write!(f, "{generation}.{number}") }
     }
 }
--- a/crates/mastweir-model/src/fleet.rs
+++ b/crates/mastweir-model/src/fleet.rs
@@ -308,7 +308,7 @@
         directory.revision.number += 1;
         for (server, born) in self.lives.iter().enumerate() {
             if let Some((entry, born)) = directory.servers.get_mut(&id(server)).zip(*born) {
-                entry.born = born;
+                entry.incarnation = born;
                 entry.changed = directory.revision;
             }
         }
--- a/crates/mastweir-model/src/fleet/requests.rs
+++ b/crates/mastweir-model/src/fleet/requests.rs
@@ -38,8 +38,8 @@
         let held = request.sent_us + micros(HELD);
         match gateway.choose(&request.tried, now, &mut self.rng) {
             Ok(server) => {
-                let lent = gateway.fleet.take_token(&server.id, now);
-                gateway.fleet.sent(&server.id, now);
+                let lent = gateway.fleet.take_permit(&server.id, now);
+                gateway.fleet.record_sent(&server.id, now);
                 let opens = self.rng.random_range(200..OPENS_US);
                 let opened = self.to_gateway(request.gateway, At::Opened(request, server, lent));
                 self.at(now_us + opens, opened);
@@ -58,7 +58,7 @@
         let gateway = &mut self.gateways[request.gateway];
         let now = gateway.clock(now_us);
         if !gateway.fleet.may_send(&server.id, lent, now) {
-            gateway.fleet.ended(&server.id, server.born, false, now);
+            gateway.fleet.record_ended(&server.id, server.incarnation, false, now);
             request.tried.push(server.id.clone());
             self.came(request);
             return;
@@ -84,7 +84,7 @@
         }
         let took = self.rng.random_range(SERVED_US[0]..SERVED_US[1]);
         let entry = self.gateways[number].fleet.directory().servers.get(&id(server));
-        let born = entry.map_or(0, |entry| entry.born);
+        let born = entry.map_or(0, |entry| entry.incarnation);
         let at = At::Answered { server, born, asked_us, said };
         self.at(self.now_us + took, Event::Gateway { number, life, at });
     }
@@ -101,14 +101,14 @@
         let gateway = &mut self.gateways[number];
         let (asked, now) = (gateway.clock(asked_us.max(gateway.started_us)), gateway.clock(now_us));
         let id = id(server);
-        gateway.fleet.ended(&id, born, false, now);
+        gateway.fleet.record_ended(&id, born, false, now);
         if said.leaves {
-            gateway.fleet.leaves(&id, born, now);
+            gateway.fleet.mark_leaving(&id, born, now);
         }
         if let Some(pause) = said.pause {
-            gateway.fleet.backs_off(&id, born, pause, now);
+            gateway.fleet.set_backoff(&id, born, pause, now);
         }
-        gateway.fleet.named_limit(&id, born, said.limit(asked, now), now);
+        gateway.fleet.record_limit(&id, born, said.limit(asked, now), now);
         let now = self.instant(now_us);
         self.servers[server].told(number, said, now);
     }
--- a/crates/mastweir-model/src/fleet/words.rs
+++ b/crates/mastweir-model/src/fleet/words.rs
@@ -59,7 +59,7 @@
             gateway.lender.set_servers(own.map(|server| server.id.as_str()), now);
             let speaks = gateway.peers.is_relay(number == 0, now);
             let all = speaks && round.is_multiple_of(AGAIN_ROUNDS);
-            let told = gateway.fleet.limits_told(all, now);
+            let told = gateway.fleet.limits_to_send(all, now);
             if !told.is_empty() {
                 let hearers = hearers(gateway, number, self.scenario.halls, now);
                 hearers
@@ -132,9 +132,9 @@
         let Some(asked) = gateway.borrower.accept_answer(word, now) else { return };
         for (server, PermitGrant { count, wait }) in loans {
             if count > 0 {
-                gateway.fleet.lent(&server, count, asked + PERMIT_LIFETIME);
+                gateway.fleet.add_permits(&server, count, asked + PERMIT_LIFETIME);
             } else {
-                gateway.fleet.none_lent(&server, now + wait);
+                gateway.fleet.deny_permits_before(&server, now + wait);
             }
         }
     }
@@ -148,7 +148,7 @@
                 gateway.peers.record_hello(named, said, now);
                 known.into_iter().for_each(|named| gateway.peers.record_mention(named, now));
                 if asks {
-                    let all = gateway.fleet.limits_told(true, now);
+                    let all = gateway.fleet.limits_to_send(true, now);
                     let hello = self.own_hello(number, false);
                     self.send(number, from, hello);
                     self.send(number, from, Word::Limits(all));
@@ -157,7 +157,7 @@
             Word::Limits(all) => {
                 for limited in all {
                     let word = limited.report(now);
-                    gateway.fleet.named_limit(&limited.server, limited.incarnation, word, now);
+                    gateway.fleet.record_limit(&limited.server, limited.incarnation, word, now);
                 }
             }
             Word::Borrow { number: word, wants } => {
--- a/crates/mastweir-model/src/gateway.rs
+++ b/crates/mastweir-model/src/gateway.rs
@@ -3,8 +3,8 @@
 use crate::scenario::Scenario;
 use mastweir_core::{
     gateway::{
-        Candidate, Directory, Fleet, Needs, PeerInfo, Peers, PermitIssuer, PermitRequester,
-        Refusal, Server, ServerState,
+        Candidate, Directory, Fleet, PeerInfo, Peers, PermitIssuer, PermitRequester, Refusal,
+        Requirements, Server, ServerState,
     },
     revision::Revision,
     time::Uptime,
@@ -115,7 +115,8 @@
         now: Uptime,
         rng: &mut SmallRng,
     ) -> Result<Candidate, Refusal> {
-        let needs = Needs { service: SERVICE, tried, room: 3.0, gap_ms: 0.0, stream: None };
+        let needs =
+            Requirements { service: SERVICE, tried, max_load: 3.0, gap_ms: 0.0, stream: None };
         self.fleet.choose(needs, now, rng)
     }
 }
@@ -123,7 +124,7 @@
 fn directory(scenario: &Scenario) -> Directory {
     let server = |number: usize| Server {
         id: id(number),
-        born: FIRST_LIFE,
+        incarnation: FIRST_LIFE,
         service: SERVICE.to_owned(),
         addr: SocketAddr::from(([10, 1, (number / 250) as u8, (number % 250) as u8], 80)),
         hall: hall(number % scenario.halls),
--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -54,7 +54,7 @@
 
 impl Place {
     fn take(gateway: &Rc<Gateway>, server: Candidate) -> Self {
-        gateway.fleet.borrow_mut().sent(&server.id, gateway.clock.now());
+        gateway.fleet.borrow_mut().record_sent(&server.id, gateway.clock.now());
         Self { gateway: gateway.clone(), server, failed: Cell::new(false) }
     }
 
@@ -67,8 +67,8 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let now = self.gateway.clock.now();
-        let Candidate { id, born, .. } = &self.server;
-        self.gateway.fleet.borrow_mut().ended(id, *born, self.failed.get(), now);
+        let Candidate { id, incarnation: born, .. } = &self.server;
+        self.gateway.fleet.borrow_mut().record_ended(id, *born, self.failed.get(), now);
         self.gateway.news.notify_waiters();
     }
 }
@@ -86,8 +86,8 @@
     let place = Place::take(gateway, server);
     let addr = place.server.addr;
     let id = &place.server.id;
-    let lent = gateway.fleet.borrow_mut().take_token(id, gateway.clock.now());
-    let idle = if call.route().repeatable() { gateway.servers.reuse(addr) } else { None };
+    let lent = gateway.fleet.borrow_mut().take_permit(id, gateway.clock.now());
+    let idle = if call.route().is_repeatable() { gateway.servers.reuse(addr) } else { None };
     let opened = match idle {
         Some(exchange) => Ok(exchange),
         None => gateway.servers.open(addr, CONNECT_LASTS.min(call.left())).await,
@@ -147,7 +147,7 @@
     };
     let (parts, body) = response.into_parts();
     let head = headers::read_answer(parts.status, &parts.headers);
-    gateway.fleet.borrow_mut().reached(&place.server.id);
+    gateway.fleet.borrow_mut().record_reached(&place.server.id);
     said(gateway, call, &place.server, Heard { status: parts.status, head: &head, asked });
     if !head.id.is_empty() && head.id != call.head.id {
         progress.runs += 1;
@@ -180,21 +180,21 @@
 /// and the request may go to another one; says which. It never ends for a request that may
 /// not be repeated. `runs`: whether the request had an event there.
 pub async fn stuck(gateway: &Gateway, call: &Call, place: &Place, runs: bool) -> &'static str {
-    if !call.route().repeatable() {
+    if !call.route().is_repeatable() {
         return std::future::pending().await;
     }
     let id = &place.server.id;
-    let pass = gateway.fleet.borrow().last_told(id).map(|told| told.pass);
+    let pass = gateway.fleet.borrow().last_report(id).map(|told| told.pass);
     loop {
-        let soon = gateway.fleet.borrow().stuck_in(id, gateway.clock.now());
+        let soon = gateway.fleet.borrow().time_to_stuck(id, gateway.clock.now());
         let pause = soon.map_or(STUCK_LOOK, |soon| soon.max(STUCK_LOOK_LEAST));
         time::sleep(pause.min(STUCK_LOOK)).await;
         let now = gateway.clock.now();
         let fleet = gateway.fleet.borrow();
-        if fleet.is_stuck(id, place.server.born, now) {
+        if fleet.is_stuck(id, place.server.incarnation, now) {
             return "stuck";
         }
-        if pass.is_some_and(|pass| fleet.is_mute(id, pass, runs, now)) {
+        if pass.is_some_and(|pass| fleet.is_stream_silent(id, pass, runs, now)) {
             return "mute";
         }
     }
@@ -225,7 +225,7 @@
 }
 
 fn unreachable(gateway: &Gateway, call: &Call, place: &Place, error: &CallError) {
-    gateway.fleet.borrow_mut().unreachable(&place.server.id, gateway.clock.now());
+    gateway.fleet.borrow_mut().record_unreachable(&place.server.id, gateway.clock.now());
     gateway.tally.count("attempts_failed_total", "unreachable");
     info!(gateway.log, "server not reached"; "id" => &call.head.id, "server" => &place.server.id,
         "error" => %error);
@@ -242,12 +242,12 @@
     let now = gateway.clock.now();
     let server = &place.server;
     match proof {
-        Proof::WrongServer => gateway.fleet.borrow_mut().unreachable(&server.id, now),
+        Proof::WrongServer => gateway.fleet.borrow_mut().record_unreachable(&server.id, now),
         // It speaks of itself, not of its group.
         _ if head.retry_after.is_some() => (),
         // Plain services turn single requests away.
         _ if call.is_model() => {
-            gateway.fleet.borrow_mut().refused(&server.id, server.load_milli, now);
+            gateway.fleet.borrow_mut().record_refused(&server.id, server.load_milli, now);
         }
         _ => (),
     }
--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -8,7 +8,7 @@
     header::{HOST, HeaderValue},
 };
 use mastweir_core::{
-    gateway::{Fingerprint, Needs, Quarantine, RequestParts, Route, Stream},
+    gateway::{Fingerprint, Quarantine, RequestParts, Requirements, Route, StreamRequest},
     time::Uptime,
 };
 use std::{cell::OnceCell, rc::Rc, time::Duration};
@@ -90,15 +90,15 @@
     }
 
     /// What it needs of a server, with so much room there.
-    pub fn needs<'a>(&'a self, tried: &'a [String], room: f64) -> Needs<'a> {
+    pub fn needs<'a>(&'a self, tried: &'a [String], room: f64) -> Requirements<'a> {
         let gap_ms = self.route().gap_ms as f64;
-        Needs { service: &self.service, tried, room, gap_ms, stream: None }
+        Requirements { service: &self.service, tried, max_load: room, gap_ms, stream: None }
     }
 
     /// The same, of a request that may still be refused.
-    pub fn needs_first<'a>(&'a self, tried: &'a [String], room: f64) -> Needs<'a> {
-        let stream = Stream { chance: self.chance, returned: self.returned };
-        Needs { stream: Some(stream).filter(|_| self.is_model()), ..self.needs(tried, room) }
+    pub fn needs_first<'a>(&'a self, tried: &'a [String], room: f64) -> Requirements<'a> {
+        let stream = StreamRequest { draw: self.chance, is_retry: self.returned };
+        Requirements { stream: Some(stream).filter(|_| self.is_model()), ..self.needs(tried, room) }
     }
 
     /// Time that is left.
--- a/src/mastweir/gateway/ending.rs
+++ b/src/mastweir/gateway/ending.rs
@@ -35,7 +35,7 @@
 pub fn no_server(gateway: &Gateway, call: &Call, progress: &Progress, refusal: Refusal) -> Reply {
     let reason = match refusal {
         Refusal::Full => "full",
-        Refusal::Standing => "standing",
+        Refusal::Stalled => "standing",
         Refusal::Backoff(_) => "backoff",
         Refusal::Limited(_) => "limited",
         Refusal::NoServer => "no_server",
@@ -74,7 +74,7 @@
     match refusal {
         Refusal::Full if call.is_model() => gateway.rng.borrow_mut().random_range(BACK_CROWD),
         Refusal::Full => BACK_FULL,
-        Refusal::Standing | Refusal::NoServer => BACK_DOWN,
+        Refusal::Stalled | Refusal::NoServer => BACK_DOWN,
         Refusal::Limited(left) if left.is_zero() => BACK_UNTOLD,
         Refusal::Backoff(left) | Refusal::Limited(left) => {
             left + gateway.rng.borrow_mut().random_range(BACK_SPREAD)
--- a/src/mastweir/gateway/examine.rs
+++ b/src/mastweir/gateway/examine.rs
@@ -39,7 +39,7 @@
     if is_new {
         task::spawn_local(examine(gateway.clone(), server.clone()));
     }
-    if call.route().repeatable() {
+    if call.route().is_repeatable() {
         // Without an answer the look has ended, and its outcome is noted.
         let _ = first.await;
     }
@@ -77,7 +77,7 @@
             Look::Opened
         }
         Err(error) if error.is_refused() => {
-            gateway.fleet.borrow_mut().unreachable(&server.id, gateway.clock.now());
+            gateway.fleet.borrow_mut().record_unreachable(&server.id, gateway.clock.now());
             Look::Refused
         }
         Err(_) => Look::Silent,
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -41,8 +41,8 @@
         internal::call(&gateway.internal, addr, "/servers", &revision, FETCH_LASTS).await;
     match change {
         Ok(Some(change)) => {
-            let whole = change.whole;
-            let gone = change.gone.clone();
+            let whole = change.is_complete;
+            let gone = change.removed.clone();
             let directory = gateway.fleet.borrow().directory().changed(change);
             if whole {
                 gateway.adopt_whole(directory, false, &from.to_string());
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -20,7 +20,7 @@
 use mastweir_core::{
     gateway::{
         AttemptResult, AttemptState, Candidate, Kind, NextAction, Refusal, Route, final_action,
-        held, next_action,
+        max_deferral, next_action,
     },
     time::Uptime,
 };
@@ -107,7 +107,7 @@
     let wait = head.wait.unwrap_or(WAIT_USUAL).min(Duration::from_millis(route.timeout_ms));
     let deadline = arrived + wait.min(WAIT_MAX);
     let returned =
-        head.wait.is_some_and(|wait| gateway.waits.borrow_mut().has_returned(&route.name, wait));
+        head.wait.is_some_and(|wait| gateway.waits.borrow_mut().is_retry(&route.name, wait));
     let limit = active.config.limits.body_bytes;
     let body = gateway.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
     let body = match body {
@@ -204,7 +204,7 @@
 fn step(call: &Call, progress: &Progress) -> AttemptState {
     let route = call.route();
     AttemptState {
-        repeatable: route.repeatable(),
+        repeatable: route.is_repeatable(),
         may_have_run: progress.runs > 0,
         attempts_left: route.attempts.saturating_sub(progress.runs),
         time_left: call.left(),
@@ -270,7 +270,7 @@
 fn is_paced(call: &Call, progress: &Progress, server: &Candidate) -> bool {
     let route = call.route();
     let objective = Duration::from_millis(route.objective_ms);
-    let held = held(server.pass_ms, route.gap_ms as f64, objective);
+    let held = max_deferral(server.pass_ms, route.gap_ms as f64, objective);
     progress.waited.is_some() || call.age() + LOOK_AGAIN > held
 }
 
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -8,7 +8,9 @@
     state::Gateway,
 };
 use mastweir_core::{
-    gateway::{Candidate, Needs, PERMIT_LIFETIME, PermitGrant, PermitRequest, Refusal, Server},
+    gateway::{
+        Candidate, PERMIT_LIFETIME, PermitGrant, PermitRequest, Refusal, Requirements, Server,
+    },
     time::Uptime,
 };
 use slog::info;
@@ -29,7 +31,7 @@
 /// Chooses a server; where only limited ones could serve, waits for a token until a time.
 pub async fn choose_by(
     gateway: &Gateway,
-    needs: Needs<'_>,
+    needs: Requirements<'_>,
     until: Uptime,
 ) -> Result<Candidate, Refusal> {
     loop {
@@ -132,9 +134,9 @@
     let mut fleet = gateway.fleet.borrow_mut();
     for LentFor { server, count, wait_ms } in loans {
         if count > 0 {
-            fleet.lent(&server, count, asked + PERMIT_LIFETIME);
+            fleet.add_permits(&server, count, asked + PERMIT_LIFETIME);
         } else {
-            fleet.none_lent(&server, now + Duration::from_millis(u64::from(wait_ms)));
+            fleet.deny_permits_before(&server, now + Duration::from_millis(u64::from(wait_ms)));
         }
     }
     gateway.news.notify_waiters();
--- a/src/mastweir/gateway/limits.rs
+++ b/src/mastweir/gateway/limits.rs
@@ -37,9 +37,9 @@
 
 fn tell_once(gateway: &Gateway, socket: &UdpSocket, round: u32) {
     let now = gateway.clock.now();
-    let mut told = gateway.fleet.borrow().limits_told(false, now);
+    let mut told = gateway.fleet.borrow().limits_to_send(false, now);
     if gateway.speaks.get() && round.is_multiple_of(AGAIN_ROUNDS) {
-        let all = gateway.fleet.borrow().limits_told(true, now);
+        let all = gateway.fleet.borrow().limits_to_send(true, now);
         let chunks = all.len().div_ceil(LIMITS_SENT).max(1);
         let turn = (round / AGAIN_ROUNDS) as usize % chunks;
         told.extend(all.into_iter().skip(turn * LIMITS_SENT).take(LIMITS_SENT));
@@ -51,7 +51,7 @@
 
 /// Tells a gateway that has just started.
 pub fn tell_new(gateway: &Gateway, socket: &UdpSocket, ip: IpAddr) {
-    let all = gateway.fleet.borrow().limits_told(true, gateway.clock.now());
+    let all = gateway.fleet.borrow().limits_to_send(true, gateway.clock.now());
     send(gateway, socket, &[ip], &all);
 }
 
@@ -69,7 +69,7 @@
     for limited in all {
         let LimitUpdate { server, incarnation: born, .. } = limited;
         let word = limited.report(now);
-        let change = gateway.fleet.borrow_mut().named_limit(server, *born, word, now);
+        let change = gateway.fleet.borrow_mut().record_limit(server, *born, word, now);
         if let Some(change) = change {
             log_limit(gateway, server, change, "gateway");
         }
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -6,7 +6,7 @@
 //! to either (docs/design/large.md).
 
 use mastweir_core::{
-    gateway::{LimitUpdate, Model, PeerInfo, SuspectReport, Told},
+    gateway::{LimitUpdate, LoadReport, Model, PeerInfo, SuspectReport},
     revision::Revision,
     switch::{
         map_change::{OrderOutcome, RankState},
@@ -146,7 +146,7 @@
     /// Where the server listens.
     pub server: SocketAddr,
     /// What its sidecar saw.
-    pub told: Told,
+    pub told: LoadReport,
     /// The coordinator that it heard last.
     pub lead: Option<LeadSeen>,
 }
@@ -172,7 +172,7 @@
     /// Place of its group's name in the list, if it has one.
     pub group: Option<u8>,
     /// What its sidecar saw, without the group's name.
-    pub told: Told,
+    pub told: LoadReport,
 }
 
 /// How long a group's passes are expected to be: sooner known than seen.
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -150,7 +150,7 @@
     let (speaks, watches) = (gateways.is_relay(is_seed, now), gateways.is_watcher(is_seed, now));
     let spoke = gateway.speaks.replace(speaks);
     if spoke != speaks {
-        gateway.fleet.borrow_mut().hears_sidecars(speaks.then_some(now));
+        gateway.fleet.borrow_mut().set_receiving(speaks.then_some(now));
     }
     let watched = gateway.watches.send_if_modified(|before| {
         let changed = *before != watches;
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -14,7 +14,7 @@
     state::Gateway,
 };
 use mastweir_core::{
-    gateway::{News, Server, Told},
+    gateway::{LoadReport, ReportChanges, Server},
     time::Uptime,
 };
 use std::{
@@ -76,7 +76,7 @@
 fn messages(gateway: &Gateway, fits: impl Fn(&Server) -> bool) -> Vec<Vec<u8>> {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
-    let fitting: Vec<(SocketAddr, Duration, &Told)> = fleet
+    let fitting: Vec<(SocketAddr, Duration, &LoadReport)> = fleet
         .loads(now)
         .filter(|(server, ..)| fits(server))
         .map(|(server, age, told)| (server.addr, age, told))
@@ -94,9 +94,9 @@
     bytes.collect()
 }
 
-fn chunk(loads: &[(SocketAddr, Duration, &Told)]) -> Loads {
+fn chunk(loads: &[(SocketAddr, Duration, &LoadReport)]) -> Loads {
     let mut groups: Vec<String> = Vec::new();
-    let load = |(server, age, told): &(SocketAddr, Duration, &Told)| {
+    let load = |(server, age, told): &(SocketAddr, Duration, &LoadReport)| {
         let group = told.group.as_ref().and_then(|name| {
             let known = groups.iter().position(|other| other == name);
             let at = known.unwrap_or_else(|| {
@@ -106,7 +106,7 @@
             u8::try_from(at).ok()
         });
         let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        Load { server: *server, age_ms, group, told: Told { group: None, ..(*told).clone() } }
+        Load { server: *server, age_ms, group, told: LoadReport { group: None, ..(*told).clone() } }
     };
     let loads = loads.iter().map(load).collect();
     Loads { groups, loads, leads: Vec::new() }
@@ -138,7 +138,7 @@
         if *spoken_for.entry(hall).or_insert_with(|| is_others(hall)) {
             continue;
         }
-        let group = fleet.last_told(&server.id).and_then(|told| told.group.clone());
+        let group = fleet.last_report(&server.id).and_then(|told| told.group.clone());
         let lead = group.and_then(|group| fetch::lead(gateway, &group));
         let greeting = Message::Greeting(Greeting { model: Some(model), lead });
         let Ok(bytes) = postcard::to_stdvec(&greeting) else { continue };
@@ -152,7 +152,7 @@
     report.lead.into_iter().for_each(|lead| heard_of(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
     let Some(id) = fleet.id_at(report.server).map(str::to_owned) else { return };
-    log_news(gateway, &id, fleet.told(&id, report.told, now), "sidecar");
+    log_news(gateway, &id, fleet.record_report(&id, report.told, now), "sidecar");
     gateway.news.notify_waiters();
 }
 
@@ -166,14 +166,14 @@
         let Some(id) = fleet.id_at(server).map(str::to_owned) else { continue };
         let group = group.and_then(|at| groups.get(usize::from(at)).cloned());
         let age = Duration::from_millis(u64::from(age_ms));
-        let news = fleet.told_before(&id, Told { group, ..told }, age, now);
+        let news = fleet.record_forwarded(&id, LoadReport { group, ..told }, age, now);
         log_news(gateway, &id, news, "gateway");
     }
     gateway.news.notify_waiters();
 }
 
-fn log_news(gateway: &Gateway, id: &str, news: News, from: &'static str) {
-    if news.leaves {
+fn log_news(gateway: &Gateway, id: &str, news: ReportChanges, from: &'static str) {
+    if news.leaving {
         log_leaves(gateway, id, from);
     }
     if let Some(change) = news.limit {
@@ -199,7 +199,7 @@
 pub fn paced(gateway: &Gateway, socket: &UdpSocket, pace: Pace, from_sidecar: bool) {
     let now = gateway.clock.now();
     let Pace { group, word, pass_ms } = &pace;
-    if !gateway.fleet.borrow_mut().paced(group, *word, *pass_ms, now) {
+    if !gateway.fleet.borrow_mut().record_forecast(group, *word, *pass_ms, now) {
         return;
     }
     let gateways = gateway.gateways.borrow();
--- a/src/mastweir/gateway/said.rs
+++ b/src/mastweir/gateway/said.rs
@@ -28,20 +28,20 @@
 /// alone.
 pub fn said(gateway: &Gateway, call: &Call, server: &Candidate, heard: Heard<'_>) {
     let Heard { status, head, .. } = heard;
-    let Candidate { id, born, .. } = server;
+    let Candidate { id, incarnation: born, .. } = server;
     let now = gateway.clock.now();
     if let Some((running, waiting)) = head.load {
-        gateway.fleet.borrow_mut().answered_load(id, running, waiting, now);
+        gateway.fleet.borrow_mut().record_answer_load(id, running, waiting, now);
     }
     if status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
-    if head.leaving && gateway.fleet.borrow_mut().leaves(id, *born, now) {
+    if head.leaving && gateway.fleet.borrow_mut().mark_leaving(id, *born, now) {
         log_leaves(gateway, id, "answer");
     }
     if let Some(wait) = head.retry_after {
         gateway.tally.count("servers_backing_off_total", "asked");
-        gateway.fleet.borrow_mut().backs_off(id, *born, wait, now);
+        gateway.fleet.borrow_mut().set_backoff(id, *born, wait, now);
     }
     // An answer to an earlier request is older than this one's span says.
     if head.id == call.head.id {
@@ -50,7 +50,7 @@
 }
 
 fn note_limit(gateway: &Gateway, server: &Candidate, heard: Heard<'_>) {
-    let Candidate { id, born, .. } = server;
+    let Candidate { id, incarnation: born, .. } = server;
     let rate = match heard.head.limit {
         NamedLimit::Nothing => None,
         NamedLimit::At(rate) => Some(rate),
@@ -66,7 +66,7 @@
     };
     let now = gateway.clock.now();
     let word = LimitReport { rate, sent: heard.asked, received: now };
-    let change = gateway.fleet.borrow_mut().named_limit(id, *born, word, now);
+    let change = gateway.fleet.borrow_mut().record_limit(id, *born, word, now);
     if let Some(change) = change {
         log_limit(gateway, id, change, "answer");
     }
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -10,8 +10,8 @@
 };
 use mastweir_core::{
     gateway::{
-        Candidate, Config, Directory, Fleet, Needs, PeerInfo, Peers, PoisonRequests, Refusal,
-        RetryWindow, Route, RouteIndex, Waits,
+        Candidate, Config, Directory, Fleet, PeerInfo, Peers, PoisonRequests, Refusal,
+        Requirements, RetryDetector, RetryWindow, Route, RouteIndex,
     },
     time::Uptime,
 };
@@ -113,7 +113,7 @@
     /// Tokens for servers that name a limit.
     pub lending: Lending,
     /// How long callers wait.
-    pub waits: RefCell<Waits>,
+    pub waits: RefCell<RetryDetector>,
     /// Requests that are held.
     pub held: Cell<usize>,
     /// Connections of callers.
@@ -202,7 +202,7 @@
     /// behind an outage of the store it may lack some that live.
     pub fn adopt_whole(&self, directory: Directory, after_outage: bool, from: &str) {
         if self.adopt(directory, after_outage, from) {
-            self.fleet.borrow_mut().forget_between();
+            self.fleet.borrow_mut().forget_removals();
         }
     }
 
@@ -217,7 +217,7 @@
     ) {
         let revision = directory.revision;
         if self.adopt(directory, after_outage, from) {
-            self.fleet.borrow_mut().went(gone, revision);
+            self.fleet.borrow_mut().record_removed(gone, revision);
         }
     }
 
@@ -226,7 +226,7 @@
         let is_newer = self.fleet.borrow_mut().replace(directory, after_outage, self.clock.now());
         if is_newer {
             let fleet = self.fleet.borrow();
-            let Directory { revision, servers, lapsed } = fleet.directory();
+            let Directory { revision, servers, expired: lapsed } = fleet.directory();
             info!(self.log, "servers adopted"; "revision" => %revision, "before" => %before,
                 "servers" => servers.len(), "lapsed" => lapsed.len(), "from" => from);
         }
@@ -235,7 +235,7 @@
 
     /// Drops servers that lapsed in an outage of the store and did not come back.
     pub fn drop_lapsed(&self) {
-        for server in self.fleet.borrow_mut().drop_lapsed(self.clock.now()) {
+        for server in self.fleet.borrow_mut().drop_expired(self.clock.now()) {
             info!(self.log, "lapsed server dropped"; "server" => server);
         }
     }
@@ -245,7 +245,7 @@
     /// # Errors
     ///
     /// [`Refusal`] says why there is none.
-    pub fn choose(&self, needs: Needs<'_>) -> Result<Candidate, Refusal> {
+    pub fn choose(&self, needs: Requirements<'_>) -> Result<Candidate, Refusal> {
         let mut rng = self.rng.borrow_mut();
         self.fleet.borrow().choose(needs, self.clock.now(), &mut *rng)
     }
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -16,7 +16,7 @@
     Response, StatusCode,
     body::{Frame, Incoming},
 };
-use mastweir_core::gateway::{AttemptResult, Events, StreamTiming, Told};
+use mastweir_core::gateway::{AttemptResult, EventSplitter, LoadReport, StreamTiming};
 use slog::info;
 use std::{pin::Pin, rc::Rc, time::Duration};
 
@@ -54,12 +54,12 @@
     gateway: Rc<Gateway>,
     call: Rc<Call>,
     progress: Progress,
-    events: Events,
+    events: EventSplitter,
     source: Option<Source>,
     resumed: u32,
     pauses: StreamTiming,
     /// What the server had said last when the longest pause ended.
-    slowest: Option<Told>,
+    slowest: Option<LoadReport>,
     /// Until the last event has gone.
     _held: Held,
 }
@@ -79,7 +79,7 @@
     held: Held,
 ) -> Reply {
     let head = headers::for_caller(&got.parts.headers);
-    let events = Events::after(call.head.last_event.clone());
+    let events = EventSplitter::after(call.head.last_event.clone());
     let source = Some(source(got));
     let pauses = StreamTiming::new(gateway.clock.now(), call.age());
     let relay = Relay {
@@ -139,7 +139,7 @@
                         return self.cut("oversized event");
                     }
                 }
-                Ok(None) if self.events.is_whole() => return self.finish(),
+                Ok(None) if self.events.is_at_boundary() => return self.finish(),
                 Ok(None) | Ok(Some(Err(_))) => {
                     if !self.take_up_elsewhere(BROKEN).await {
                         return self.cut("not taken up");
@@ -155,7 +155,7 @@
         }
         let Some(source) = &self.source else { return };
         let fleet = self.gateway.fleet.borrow();
-        self.slowest = fleet.last_told(&source.place.server.id).cloned();
+        self.slowest = fleet.last_report(&source.place.server.id).cloned();
     }
 
     /// The line of how it kept pace, and whether that was in time.
@@ -227,7 +227,7 @@
 
     /// Has another server go on behind the last whole event.
     async fn resume(&mut self) -> bool {
-        self.events.drop_part();
+        self.events.discard_partial();
         if !self.call.route().resumable {
             return false;
         }
--- a/src/mastweir/gateway/watch.rs
+++ b/src/mastweir/gateway/watch.rs
@@ -101,7 +101,7 @@
     }
 
     async fn later_era(&self, since: Revision) {
-        self.gateway.store.later_era(since.era).await;
+        self.gateway.store.later_era(since.generation).await;
     }
 }
 
@@ -169,6 +169,6 @@
     }
 
     async fn later_era(&self, since: Revision) {
-        self.gateway.store.later_era(since.era).await;
+        self.gateway.store.later_era(since.generation).await;
     }
 }
--- a/src/mastweir/platform/config.rs
+++ b/src/mastweir/platform/config.rs
@@ -168,15 +168,15 @@
         slots: engine.slots,
         sets: engine.sets,
         experts: engine.experts,
-        places: engine.places,
-        fresh: engine.spare_slots,
+        expert_slots: engine.places,
+        max_new: engine.spare_slots,
         load_s: load_s(&engine),
         load_mb: engine.expert_mb,
         pass: PassCost {
             steps: engine.stride.max(1.0),
             step_ms: engine.step_ms,
             request_ms: engine.per_seq_ms,
-            expert_part: engine.expert_share,
+            expert_fraction: engine.expert_share,
         },
     });
     (service.name, Service { connections: service.max_connections, model })
--- a/src/mastweir/platform/servers.rs
+++ b/src/mastweir/platform/servers.rs
@@ -40,7 +40,7 @@
         hall: entry.zone,
         slots: entry.slots,
         state: if ready { ServerState::Ready } else { ServerState::Leaving },
-        born: entry.born.unwrap_or_default(),
+        incarnation: entry.born.unwrap_or_default(),
         changed,
     })
 }
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -174,7 +174,7 @@
     pub async fn drop_quarantine(&self, hold: &StoredQuarantine) -> Result<(), StoreError> {
         let StoredQuarantine { suspected, revision } = hold;
         let name = quarantine::name(suspected.request);
-        if revision.era != self.era() {
+        if revision.generation != self.era() {
             return Err(StoreError::EraChanged);
         }
         let path = format!("/objects/{}/{name}?revision={}", quarantine::KIND, revision.number);
@@ -202,13 +202,13 @@
     }
 
     async fn probe(&self, kind: &str, since: Revision) -> Result<bool, StoreError> {
-        if since.era != self.era() {
+        if since.generation != self.era() {
             return Ok(true);
         }
         let path = format!("/objects/{kind}?watch={}&wait_ms=0&stale_ok=1", since.number);
         let Answered { era, body } = self.call(Method::GET, &path, None, PROBE_TIMEOUT).await?;
         let any: Read<()> = |_, _, _| Ok(());
-        Ok(era != since.era || !objects::read_changes(&body, era, any)?.changes.is_empty())
+        Ok(era != since.generation || !objects::read_changes(&body, era, any)?.changes.is_empty())
     }
 
     pub(super) async fn list<T>(&self, kind: &str, read: Read<T>) -> Result<Listed<T>, StoreError> {
@@ -218,7 +218,7 @@
             let path = format!("/objects/{kind}{query}");
             let Answered { era, body } = self.call(Method::GET, &path, None, CALL_LASTS).await?;
             let ReadPage { listed, next } = objects::read_page(&body, era, read)?;
-            if all.as_ref().is_some_and(|all| all.revision.era != era) {
+            if all.as_ref().is_some_and(|all| all.revision.generation != era) {
                 return Err(StoreError::EraChanged);
             }
             // Changes made between two pages are seen again by the watch that
@@ -249,7 +249,7 @@
         wait: Duration,
         read: Read<T>,
     ) -> Result<Changes<T>, StoreError> {
-        let Revision { era, number } = since;
+        let Revision { generation: era, number } = since;
         if era != self.era() {
             return Err(StoreError::EraChanged);
         }
--- a/src/mastweir/sidecar/plan.rs
+++ b/src/mastweir/sidecar/plan.rs
@@ -56,8 +56,8 @@
 /// The planner for a model's groups.
 pub fn planner(model: &Model) -> LayerPlanner {
     LayerPlanner {
-        slots: model.places,
-        max_new: model.fresh,
+        slots: model.expert_slots,
+        max_new: model.max_new,
         load_s: model.load_s,
         horizon_s: HORIZON_S,
         load_cost: MB_COST * model.load_mb,
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -6,7 +6,7 @@
     platform::{engine::EngineState, headers::NamedLimit},
 };
 use mastweir_core::{
-    gateway::{Passes, Told},
+    gateway::{LoadReport, PassTimer},
     time::Uptime,
 };
 use slog::{info, warn};
@@ -23,7 +23,7 @@
 
 /// Looks at the server, for ever, and tells the others.
 pub async fn watch(sidecar: Rc<Sidecar>) {
-    let mut passes = Passes::default();
+    let mut passes = PassTimer::default();
     let mut lost = false;
     loop {
         match sidecar.engine.state().await {
@@ -46,18 +46,18 @@
     }
 }
 
-fn seen(sidecar: &Sidecar, mut state: EngineState, passes: &mut Passes) {
+fn seen(sidecar: &Sidecar, mut state: EngineState, passes: &mut PassTimer) {
     let now = sidecar.clock.now();
     note_limit(sidecar, &mut state);
     let before = sidecar.state.borrow().as_ref().map(|before| before.born);
     if before.is_some_and(|before| before != state.born) {
         info!(sidecar.log, "model server started again"; "born" => state.born, "before" => before);
-        *passes = Passes::default();
+        *passes = PassTimer::default();
     }
     if let Some(rank) = &state.rank {
         sidecar.maps.borrow_mut().set_epoch(rank.epoch);
     }
-    passes.seen(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
+    passes.record(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
     sidecar.pass_ms.set(passes.mean_ms());
     tell_speakers(sidecar, &state, passes, now);
     let pace = sidecar.state.borrow().as_ref().map(|before| before.pace_milli);
@@ -90,10 +90,10 @@
     }
 }
 
-fn tell_speakers(sidecar: &Sidecar, state: &EngineState, passes: &Passes, now: Uptime) {
+fn tell_speakers(sidecar: &Sidecar, state: &EngineState, passes: &PassTimer, now: Uptime) {
     let rank = state.rank.as_ref();
-    let stalled = passes.stalled(state.running, now);
-    let told = Told {
+    let stalled = passes.is_stalled(state.running, now);
+    let told = LoadReport {
         running: state.running,
         waiting: state.waiting,
         memory_milli: state.memory_milli,
@@ -102,7 +102,7 @@
         pass: rank.map_or(0, |rank| rank.pass),
         pass_ms: passes.mean_ms() as u32,
         pace_milli: state.pace_milli,
-        born: state.born,
+        incarnation: state.born,
         leaving: state.leaving,
         limit: state.limit.rate(),
     };
--- a/tests/testsuite/fuzz_eras.rs
+++ b/tests/testsuite/fuzz_eras.rs
@@ -12,7 +12,7 @@
     },
 };
 use mastweir_core::{
-    gateway::{Directory, DirectoryChange, Fleet, Lag, Needs, ServerState, Versions},
+    gateway::{Directory, DirectoryChange, Fleet, Lag, Requirements, ServerState, Versions},
     revision::Revision,
     switch::election::Election,
     time::Uptime,
@@ -212,18 +212,18 @@
 
     /// An answer is used as it was asked for: upon what was known then.
     fn take(&mut self, to: usize, change: DirectoryChange) {
-        let (whole, gone, revision) = (change.whole, change.gone.clone(), change.revision);
+        let (whole, gone, revision) = (change.is_complete, change.removed.clone(), change.revision);
         let next = self.fleets[to].directory().changed(change);
         match (self.fleets[to].replace(next, false, self.now), whole) {
-            (true, true) => self.fleets[to].forget_between(),
-            (true, false) => self.fleets[to].went(&gone, revision),
+            (true, true) => self.fleets[to].forget_removals(),
+            (true, false) => self.fleets[to].record_removed(&gone, revision),
             (false, _) => (),
         }
     }
 
     fn list(&mut self, speaker: usize, listing: &Listing) {
         if self.fleets[speaker].replace(listing.directory(), false, self.now) {
-            self.fleets[speaker].forget_between();
+            self.fleets[speaker].forget_removals();
         }
     }
 }
@@ -232,7 +232,8 @@
     let mut tried = Vec::new();
     let mut rng = SmallRng::seed_from_u64(1);
     loop {
-        let needs = Needs { service: "s", tried: &tried, room: 9.0, gap_ms: 0.0, stream: None };
+        let needs =
+            Requirements { service: "s", tried: &tried, max_load: 9.0, gap_ms: 0.0, stream: None };
         match fleet.choose(needs, at, &mut rng) {
             Ok(found) => tried.push(found.id),
             Err(_) => break,
@@ -287,7 +288,7 @@
         .map(|(id, _)| format!("i-{id}"))
         .collect();
     for fleet in &mut all.fleets {
-        fleet.drop_lapsed(all.now);
+        fleet.drop_expired(all.now);
         prop_assert_eq!(chosen(fleet, all.now), ready.clone());
     }
     Ok(())
--- a/tests/testsuite/gateway_core.rs
+++ b/tests/testsuite/gateway_core.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use mastweir_core::{
     gateway::{
-        AttemptResult, AttemptState, Config, Events, Kind, Lag, Limits, NextAction, PassCost,
-        Passes, Proof, RetryWindow, Route, RouteIndex, StreamTiming, Target, Versions, Waits, held,
-        next_action,
+        AttemptResult, AttemptState, Config, EventSplitter, Kind, Lag, Limits, NextAction,
+        PassCost, PassTimer, Proof, RetryDetector, RetryWindow, Route, RouteIndex, StreamTiming,
+        Target, Versions, max_deferral, next_action,
     },
     revision::Revision,
     time::Uptime,
@@ -60,7 +60,7 @@
     let text = "id: 1\ndata: a\n\nid: 22\r\ndata: b\r\n\r\nid: 3\ndata: c\n\ndata: half";
     let cuts = prop::collection::vec(1..9_usize, 1..40);
     let result = TestRunner::new_with_rng(config, rng).run(&cuts, |cuts| {
-        let mut events = Events::default();
+        let mut events = EventSplitter::default();
         let (mut passed, mut rest) = (Vec::new(), text.as_bytes());
         for cut in cuts.iter().cycle() {
             if rest.is_empty() {
@@ -77,7 +77,7 @@
         prop_assert_eq!(&text.as_bytes()[..passed.len()], &passed[..]);
         prop_assert_eq!(text.len() - passed.len(), "data: half".len());
         prop_assert_eq!(events.last_id(), Some("3"));
-        prop_assert!(!events.is_whole());
+        prop_assert!(!events.is_at_boundary());
         Ok(())
     });
     if let Err(error) = result {
@@ -165,19 +165,19 @@
 /// An idle group makes no passes; the first request after a pause is no stall.
 #[googletest::test]
 fn a_group_stalls_only_while_something_runs() {
-    let mut passes = Passes::default();
+    let mut passes = PassTimer::default();
     let ms = Uptime::from_millis;
-    passes.seen(7, 0, ms(1_000));
-    passes.seen(7, 0, ms(9_000));
-    passes.seen(7, 1, ms(9_200));
-    expect_that!(passes.stalled(1, ms(9_200)), eq(false));
-    passes.seen(8, 3, ms(9_250));
-    passes.seen(12, 3, ms(9_450));
+    passes.record(7, 0, ms(1_000));
+    passes.record(7, 0, ms(9_000));
+    passes.record(7, 1, ms(9_200));
+    expect_that!(passes.is_stalled(1, ms(9_200)), eq(false));
+    passes.record(8, 3, ms(9_250));
+    passes.record(12, 3, ms(9_450));
     expect_that!(passes.mean_ms(), gt(10.0));
-    expect_that!(passes.stalled(3, ms(9_800)), eq(false));
-    passes.seen(12, 3, ms(9_950));
-    expect_that!(passes.stalled(3, ms(9_950)), eq(true));
-    expect_that!(passes.stalled(0, ms(9_950)), eq(false));
+    expect_that!(passes.is_stalled(3, ms(9_800)), eq(false));
+    passes.record(12, 3, ms(9_950));
+    expect_that!(passes.is_stalled(3, ms(9_950)), eq(true));
+    expect_that!(passes.is_stalled(0, ms(9_950)), eq(false));
 }
 
 #[googletest::test]
@@ -197,7 +197,7 @@
 /// Half of the engine's work for tokens is done by experts here.
 #[googletest::test]
 fn a_pass_grows_with_its_requests_and_with_the_most_loaded_rank() {
-    let cost = PassCost { steps: 4.0, step_ms: 5.0, request_ms: 1.0, expert_part: 0.5 };
+    let cost = PassCost { steps: 4.0, step_ms: 5.0, request_ms: 1.0, expert_fraction: 0.5 };
     expect_that!(cost.pass_ms(0.0, 1.0), approx_eq(20.0));
     expect_that!(cost.pass_ms(5.0, 1.0), approx_eq(40.0));
     expect_that!(cost.pass_ms(5.0, 3.0), approx_eq(80.0));
@@ -207,12 +207,12 @@
 /// their own first event.
 #[googletest::test]
 fn a_new_stream_is_held_while_passes_are_long_and_its_first_event_can_wait() {
-    let held = |pass_ms: f64| held(pass_ms, 120.0, Duration::from_millis(500)).as_millis();
+    let held = |pass_ms: f64| max_deferral(pass_ms, 120.0, Duration::from_millis(500)).as_millis();
     expect_that!([60.0, 96.0].map(held), eq([0, 0]));
     expect_that!([100.0, 140.0].map(held), eq([250, 150]));
     expect_that!(held(300.0), eq(0));
     // What is no stream waits for nothing.
-    let plain = mastweir_core::gateway::held(400.0, 0.0, Duration::from_millis(500));
+    let plain = max_deferral(400.0, 0.0, Duration::from_millis(500));
     expect_that!(plain, eq(Duration::ZERO));
 }
 
@@ -245,15 +245,15 @@
 #[googletest::test]
 fn callers_who_come_back_are_told_by_the_time_that_they_have_left() {
     let ms = Duration::from_millis;
-    let mut waits = Waits::default();
-    expect_that!(waits.has_returned("r", ms(8_000)), eq(false));
-    expect_that!(waits.has_returned("r", ms(5_400)), eq(true));
-    expect_that!(waits.has_returned("r", ms(7_900)), eq(false));
+    let mut waits = RetryDetector::default();
+    expect_that!(waits.is_retry("r", ms(8_000)), eq(false));
+    expect_that!(waits.is_retry("r", ms(5_400)), eq(true));
+    expect_that!(waits.is_retry("r", ms(7_900)), eq(false));
     // Another route's callers come with less.
-    expect_that!(waits.has_returned("s", ms(1_000)), eq(false));
+    expect_that!(waits.is_retry("s", ms(1_000)), eq(false));
     // From now on this route's do, too.
-    let taken = (0..200).filter(|_| waits.has_returned("r", ms(7_000))).count();
+    let taken = (0..200).filter(|_| waits.is_retry("r", ms(7_000))).count();
     expect_that!(taken, le(100));
-    expect_that!(waits.has_returned("r", ms(7_000)), eq(false));
-    expect_that!(waits.has_returned("r", ms(4_400)), eq(true));
+    expect_that!(waits.is_retry("r", ms(7_000)), eq(false));
+    expect_that!(waits.is_retry("r", ms(4_400)), eq(true));
 }
--- a/tests/testsuite/lending.rs
+++ b/tests/testsuite/lending.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use mastweir_core::{
     gateway::{
-        Exclusion, Fleet, HANDOVER_DELAY, LimitReport, Needs, PermitGrant, PermitIssuer, Rate,
-        Refusal, ServerState, Stream, Told,
+        Exclusion, Fleet, HANDOVER_DELAY, LimitReport, LoadReport, PermitGrant, PermitIssuer, Rate,
+        Refusal, Requirements, ServerState, StreamRequest,
     },
     time::Uptime,
 };
@@ -173,17 +173,17 @@
 fn limit(fleet: &mut Fleet, id: &str, per_s: Option<f64>, ms: u64) {
     let rate = per_s.and_then(Rate::per_second);
     let word = LimitReport { rate, sent: at(ms - 10), received: at(ms) };
-    fleet.named_limit(id, 0, word, at(ms));
+    fleet.record_limit(id, 0, word, at(ms));
 }
 
 fn choose(
     fleet: &Fleet,
     tried: &[&str],
-    stream: Option<Stream>,
+    stream: Option<StreamRequest>,
     ms: u64,
 ) -> std::result::Result<String, Refusal> {
     let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
-    let needs = Needs { service: "s", tried: &tried, room: 1.06, gap_ms: 0.0, stream };
+    let needs = Requirements { service: "s", tried: &tried, max_load: 1.06, gap_ms: 0.0, stream };
     fleet.choose(needs, at(ms), &mut SmallRng::seed_from_u64(3)).map(|found| found.id)
 }
 
@@ -193,18 +193,18 @@
     limit(&mut fleet, "a", Some(2.0), 100);
     expect_that!(choose(&fleet, &[], None, 200), ok(eq("b")));
     expect_that!(choose(&fleet, &["b"], None, 200), err(eq(&Refusal::Limited(Duration::ZERO))));
-    fleet.none_lent("a", at(700));
+    fleet.deny_permits_before("a", at(700));
     let wait = Duration::from_millis(500);
     expect_that!(choose(&fleet, &["b"], None, 200), err(eq(&Refusal::Limited(wait))));
-    expect_that!(fleet.tokens_missing("s", at(200)), is_empty());
-    expect_that!(fleet.tokens_missing("s", at(700)), len(eq(1)));
-    fleet.lent("a", 1, at(1_000));
+    expect_that!(fleet.permits_missing("s", at(200)), is_empty());
+    expect_that!(fleet.permits_missing("s", at(700)), len(eq(1)));
+    fleet.add_permits("a", 1, at(1_000));
     expect_that!(choose(&fleet, &["b"], None, 800), ok(eq("a")));
-    expect_that!(fleet.take_token("a", at(800)), eq(true));
-    expect_that!(fleet.take_token("a", at(800)), eq(false));
+    expect_that!(fleet.take_permit("a", at(800)), eq(true));
+    expect_that!(fleet.take_permit("a", at(800)), eq(false));
     expect_that!(choose(&fleet, &["b"], None, 800), err(anything()));
     // One that is not used lapses.
-    fleet.lent("a", 1, at(1_000));
+    fleet.add_permits("a", 1, at(1_000));
     expect_that!(choose(&fleet, &["b"], None, 1_000), err(anything()));
     limit(&mut fleet, "a", None, 1_200);
     expect_that!(choose(&fleet, &["b"], None, 1_300), ok(eq("a")));
@@ -216,14 +216,19 @@
 #[googletest::test]
 fn the_empty_places_of_a_limited_server_are_no_room() {
     let mut fleet = fleet(&["a", "b"]);
-    fleet.hears_sidecars(Some(at(0)));
-    let told =
-        |running, limit| Told { running, group_open: true, pass_ms: 50, limit, ..Told::default() };
-    fleet.told("a", told(0, Rate::per_second(1.0)), at(3_000));
-    fleet.told("b", told(13, None), at(3_000));
-    let stream = Some(Stream { chance: 0.5, returned: false });
+    fleet.set_receiving(Some(at(0)));
+    let told = |running, limit| LoadReport {
+        running,
+        group_open: true,
+        pass_ms: 50,
+        limit,
+        ..LoadReport::default()
+    };
+    fleet.record_report("a", told(0, Rate::per_second(1.0)), at(3_000));
+    fleet.record_report("b", told(13, None), at(3_000));
+    let stream = Some(StreamRequest { draw: 0.5, is_retry: false });
     expect_that!(choose(&fleet, &[], stream, 3_050), err(eq(&Refusal::Full)));
-    fleet.lent("a", 1, at(3_500));
+    fleet.add_permits("a", 1, at(3_500));
     expect_that!(choose(&fleet, &[], stream, 3_060), ok(eq("a")));
 }
 
@@ -232,15 +237,15 @@
 fn a_token_is_no_way_round_what_a_server_asks_for() {
     let mut fleet = fleet(&["a"]);
     limit(&mut fleet, "a", Some(2.0), 100);
-    fleet.lent("a", 2, at(1_000));
-    fleet.backs_off("a", 0, Duration::from_secs(3), at(200));
+    fleet.add_permits("a", 2, at(1_000));
+    fleet.set_backoff("a", 0, Duration::from_secs(3), at(200));
     expect_that!(
         choose(&fleet, &[], None, 300),
         err(eq(&Refusal::Backoff(Duration::from_millis(2_900))))
     );
     expect_that!(fleet.may_send("a", true, at(300)), eq(false));
     expect_that!(
-        fleet.bar("a", at(300)),
+        fleet.exclusion("a", at(300)),
         some(eq(Exclusion::Backoff(Duration::from_millis(2_900))))
     );
 }
@@ -250,12 +255,12 @@
 #[googletest::test]
 fn a_sidecar_tells_that_a_limit_has_ended() {
     let mut fleet = fleet(&["a", "b"]);
-    let told = |limit| Told { group_open: true, limit, ..Told::default() };
-    fleet.told("a", told(Rate::per_second(0.0)), at(1_000));
+    let told = |limit| LoadReport { group_open: true, limit, ..LoadReport::default() };
+    fleet.record_report("a", told(Rate::per_second(0.0)), at(1_000));
     limit(&mut fleet, "b", Some(0.0), 1_000);
     for ms in (1_100..3_000).step_by(100) {
-        fleet.told("a", told(None), at(ms));
-        fleet.told("b", told(None), at(ms));
+        fleet.record_report("a", told(None), at(ms));
+        fleet.record_report("b", told(None), at(ms));
     }
     expect_that!((fleet.limit("a"), fleet.limit("b").is_some()), eq((None, true)));
 }
@@ -266,17 +271,14 @@
 fn a_limited_server_that_refuses_speaks_for_itself_alone() {
     for limited in [true, false] {
         let mut fleet = fleet(&["a", "b"]);
-        fleet.hears_sidecars(Some(at(0)));
+        fleet.set_receiving(Some(at(0)));
         let group = Some("g".to_owned());
-        let told = Told { group, group_open: true, pass_ms: 50, ..Told::default() };
-        fleet.told("a", told.clone(), at(3_000));
-        fleet.told("b", told, at(3_000));
+        let told = LoadReport { group, group_open: true, pass_ms: 50, ..LoadReport::default() };
+        fleet.record_report("a", told.clone(), at(3_000));
+        fleet.record_report("b", told, at(3_000));
         limit(&mut fleet, "a", Some(1.0).filter(|_| limited), 3_000);
-        fleet.refused("a", 0, at(3_010));
+        fleet.record_refused("a", 0, at(3_010));
         let chosen = choose(&fleet, &["a"], None, 3_020);
-        expect_that!(
-            chosen,
-            eq(&if limited { Ok("b".to_owned()) } else { Err(Refusal::Standing) })
-        );
+        expect_that!(chosen, eq(&if limited { Ok("b".to_owned()) } else { Err(Refusal::Stalled) }));
     }
 }
--- a/tests/testsuite/lives.rs
+++ b/tests/testsuite/lives.rs
@@ -13,7 +13,7 @@
     sidecar::{answers::Readings, ranks::Ranks},
 };
 use mastweir_core::{
-    gateway::{Fleet, Needs, Server, ServerState, Told},
+    gateway::{Fleet, LoadReport, Requirements, Server, ServerState},
     switch::map_change::RankState,
     time::Uptime,
 };
@@ -32,7 +32,7 @@
 fn lives(lives: &[(&str, u64)]) -> BTreeMap<String, Server> {
     let one = |(id, born): &(&str, u64)| {
         let (id, server) = server(id, ServerState::Ready);
-        (id, Server { born: *born, ..server })
+        (id, Server { incarnation: *born, ..server })
     };
     lives.iter().map(one).collect()
 }
@@ -40,16 +40,23 @@
 fn fleet_of(servers: &[(&str, u64)]) -> Fleet {
     let mut fleet = Fleet::new("here");
     fleet.replace(listed(5, lives(servers)), false, Uptime::default());
-    fleet.hears_sidecars(Some(Uptime::default()));
+    fleet.set_receiving(Some(Uptime::default()));
     fleet
 }
 
-fn told(running: u32, born: u64) -> Told {
-    Told { running, group_open: true, pass_ms: 50, born, ..Told::default() }
+fn told(running: u32, born: u64) -> LoadReport {
+    LoadReport {
+        running,
+        group_open: true,
+        pass_ms: 50,
+        incarnation: born,
+        ..LoadReport::default()
+    }
 }
 
 fn load_milli(fleet: &Fleet, at: Uptime) -> Option<u32> {
-    let needs = Needs { service: "s", tried: &[], room: 10.0, gap_ms: 0.0, stream: None };
+    let needs =
+        Requirements { service: "s", tried: &[], max_load: 10.0, gap_ms: 0.0, stream: None };
     let mut rng = SmallRng::seed_from_u64(3);
     fleet.choose(needs, at, &mut rng).ok().map(|found| found.load_milli)
 }
@@ -58,17 +65,17 @@
 fn a_life_begins_with_nothing_in_flight_and_is_used_at_once() {
     let mut fleet = fleet_of(&[("a", FIRST)]);
     let at = Uptime::from_millis(3_000);
-    fleet.told("a", told(9, FIRST), at);
-    (0..4).for_each(|_| fleet.sent("a", at));
-    (0..3).for_each(|_| fleet.ended("a", FIRST, true, at));
+    fleet.record_report("a", told(9, FIRST), at);
+    (0..4).for_each(|_| fleet.record_sent("a", at));
+    (0..3).for_each(|_| fleet.record_ended("a", FIRST, true, at));
     expect_that!(load_milli(&fleet, at), some(ge(900)));
     // The list names another life: no gap, and none of the old load and failures.
     fleet.replace(listed(6, lives(&[("a", SECOND)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(0)));
     expect_that!(fleet.in_flight(), eq(0));
     // What ends of the life before is not counted against this one.
-    fleet.sent("a", at);
-    fleet.ended("a", FIRST, true, at);
+    fleet.record_sent("a", at);
+    fleet.record_ended("a", FIRST, true, at);
     expect_that!(fleet.in_flight(), eq(1));
 }
 
@@ -76,12 +83,12 @@
 fn late_word_of_the_life_before_changes_nothing() {
     let mut fleet = fleet_of(&[("a", FIRST)]);
     let at = Uptime::from_millis(3_000);
-    fleet.told("a", told(2, FIRST), at);
+    fleet.record_report("a", told(2, FIRST), at);
     // Its sidecar is sooner than the list.
-    fleet.told("a", told(1, SECOND), at + Duration::from_millis(50));
+    fleet.record_report("a", told(1, SECOND), at + Duration::from_millis(50));
     expect_that!(load_milli(&fleet, at + Duration::from_millis(60)), some(eq(100)));
     // A report and a list of before.
-    fleet.told("a", told(9, FIRST), at + Duration::from_millis(70));
+    fleet.record_report("a", told(9, FIRST), at + Duration::from_millis(70));
     fleet.replace(listed(6, lives(&[("a", FIRST)])), false, at + Duration::from_millis(80));
     expect_that!(load_milli(&fleet, at + Duration::from_millis(90)), some(eq(100)));
 }
@@ -91,11 +98,11 @@
     let mut fleet = fleet_of(&[("a", FIRST), ("b", FIRST)]);
     let at = Uptime::from_millis(3_000);
     for id in ["a", "b"] {
-        fleet.told(id, told(1, FIRST), at);
+        fleet.record_report(id, told(1, FIRST), at);
     }
-    fleet.sent("a", at);
+    fleet.record_sent("a", at);
     expect_that!(fleet.is_stuck("a", FIRST, at), eq(false));
-    fleet.told("a", told(0, SECOND), at);
+    fleet.record_report("a", told(0, SECOND), at);
     expect_that!(fleet.is_stuck("a", FIRST, at), eq(true));
     expect_that!(fleet.is_stuck("a", SECOND, at), eq(false));
 }
@@ -104,14 +111,14 @@
 fn servers_that_tell_no_life_are_as_before() {
     let mut fleet = fleet_of(&[("a", 0)]);
     let at = Uptime::from_millis(3_000);
-    fleet.told("a", told(3, 0), at);
-    fleet.sent("a", at + Duration::from_millis(1));
+    fleet.record_report("a", told(3, 0), at);
+    fleet.record_sent("a", at + Duration::from_millis(1));
     fleet.replace(listed(6, lives(&[("a", 0)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(400)));
     // One that says it later has not started again.
     fleet.replace(listed(7, lives(&[("a", FIRST)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(400)));
-    fleet.ended("a", 0, false, at + Duration::from_millis(2));
+    fleet.record_ended("a", 0, false, at + Duration::from_millis(2));
     expect_that!(fleet.in_flight(), eq(0));
 }
 
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -7,7 +7,7 @@
     LentFor, Load, Loads, Message, Poll, RANKS_SENT, RankBrief, RankReport, SectionReport,
 };
 use mastweir_core::{
-    gateway::{LimitUpdate, PeerInfo, Rate, Told},
+    gateway::{LimitUpdate, LoadReport, PeerInfo, Rate},
     revision::Revision,
     switch::{
         map_change::RankState,
@@ -103,7 +103,7 @@
         ranks: Vec::new(),
         counts: counts(1_000_000, COUNTS_SENT),
     });
-    let told = Told {
+    let told = LoadReport {
         running: 20,
         waiting: 300,
         memory_milli: 1_000,
@@ -112,7 +112,7 @@
         pass: 40_000_000,
         pass_ms: 300,
         pace_milli: 20_000,
-        born: 1_790_000_000_000,
+        incarnation: 1_790_000_000_000,
         leaving: true,
         limit: Rate::per_second(1e9),
     };
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -8,7 +8,7 @@
 
 use googletest::prelude::*;
 use mastweir_core::{
-    gateway::{Directory, Fleet, Needs, Server, ServerState, Stream, Told},
+    gateway::{Directory, Fleet, LoadReport, Requirements, Server, ServerState, StreamRequest},
     revision::Revision,
     time::Uptime,
 };
@@ -88,7 +88,7 @@
 fn directory() -> Directory {
     let server = |number: usize| Server {
         id: id(number),
-        born: 0,
+        incarnation: 0,
         service: "s".to_owned(),
         addr: ([10, 0, 0, number as u8 + 1], 80).into(),
         hall: "here".to_owned(),
@@ -106,7 +106,7 @@
         let fleet = || {
             let mut fleet = Fleet::new("here");
             fleet.replace(directory(), false, Uptime::default());
-            fleet.hears_sidecars(Some(Uptime::default()));
+            fleet.set_receiving(Some(Uptime::default()));
             fleet
         };
         Self {
@@ -157,9 +157,10 @@
     fn place_held(&mut self, ms: u64) {
         let now = Uptime::from_millis(ms);
         for (arrived, gateway, chance, events) in std::mem::take(&mut self.held) {
-            let stream = Stream { chance, returned: false };
+            let stream = StreamRequest { draw: chance, is_retry: false };
             let stream = Some(stream).filter(|_| self.case.admits);
-            let needs = Needs { service: "s", tried: &[], room: 1.06, gap_ms: GAP_MS, stream };
+            let needs =
+                Requirements { service: "s", tried: &[], max_load: 1.06, gap_ms: GAP_MS, stream };
             match self.fleets[gateway].choose(needs, now, &mut self.rng) {
                 Ok(found) => {
                     let server: usize = found.id[2..].parse().expect("ids hold numbers");
@@ -177,7 +178,7 @@
             self.outcome.rejected += 1;
             return;
         }
-        self.fleets[request.gateway].sent(id, now);
+        self.fleets[request.gateway].record_sent(id, now);
         self.waiting[request.server].push_back(request);
     }
 
@@ -194,7 +195,7 @@
                     kept.push(request);
                     continue;
                 }
-                self.fleets[request.gateway].ended(&id(server), 0, false, now);
+                self.fleets[request.gateway].record_ended(&id(server), 0, false, now);
                 match (request.events, request.in_time) {
                     (0, true) => self.outcome.in_time += 1,
                     (0, false) => self.outcome.late += 1,
@@ -223,17 +224,17 @@
         let now = Uptime::from_millis(ms + TOLD_AGE_MS);
         let age = Duration::from_millis(TOLD_AGE_MS);
         for server in 0..SERVERS {
-            let told = Told {
+            let told = LoadReport {
                 running: self.running[server].len() as u32,
                 waiting: self.waiting[server].len() as u32,
                 group: Some("g".to_owned()),
                 group_open: true,
                 pass_ms: self.pass_ms as u32,
                 pace_milli: (self.pace(server, ms) * 1_000.0) as u32,
-                ..Told::default()
+                ..LoadReport::default()
             };
             let told = |fleet: &mut Fleet| {
-                fleet.told_before(&id(server), told.clone(), age, now);
+                fleet.record_forwarded(&id(server), told.clone(), age, now);
             };
             self.fleets.iter_mut().for_each(told);
         }
--- a/tests/testsuite/rate_limits.rs
+++ b/tests/testsuite/rate_limits.rs
@@ -31,7 +31,7 @@
 }
 
 fn heard(fleet: &mut Fleet, per_s: Option<f64>, ms: u64) -> Option<LimitChange> {
-    fleet.named_limit("a", 0, word(per_s, ms), at(ms))
+    fleet.record_limit("a", 0, word(per_s, ms), at(ms))
 }
 
 fn change(before: Option<f64>, now: Option<f64>) -> Option<LimitChange> {
@@ -85,7 +85,7 @@
         sent_ms: asked_ms,
         received_ms: heard_ms,
     };
-    let mut takes = |told: LimitUpdate, ms| fleet.named_limit("a", 0, told.report(at(ms)), at(ms));
+    let mut takes = |told: LimitUpdate, ms| fleet.record_limit("a", 0, told.report(at(ms)), at(ms));
     // What that gateway heard before the end.
     expect_that!(takes(told(rate(2.0), 1_600, 1_500), 2_500), none());
     // What it heard behind it.
@@ -100,7 +100,7 @@
 fn another_life_has_no_limit() {
     let mut fleet = Fleet::new("here");
     let told =
-        |fleet: &mut Fleet, born, per_s, ms| fleet.named_limit("a", born, word(per_s, ms), at(ms));
+        |fleet: &mut Fleet, born, per_s, ms| fleet.record_limit("a", born, word(per_s, ms), at(ms));
     expect_that!(told(&mut fleet, 70, Some(1.0), 1_000), eq(change(None, Some(1.0))));
     expect_that!(told(&mut fleet, 40, None, 1_050), eq(change(Some(1.0), None)));
 }
@@ -111,11 +111,11 @@
 #[googletest::test]
 fn the_same_limit_of_another_life_is_news() {
     let mut fleet = Fleet::new("here");
-    fleet.named_limit("a", 70, word(Some(1.0), 1_000), at(1_000));
-    expect_that!(fleet.limits_told(false, at(9_000)), is_empty());
-    let news = fleet.named_limit("a", 40, word(Some(1.0), 9_000), at(9_000));
+    fleet.record_limit("a", 70, word(Some(1.0), 1_000), at(1_000));
+    expect_that!(fleet.limits_to_send(false, at(9_000)), is_empty());
+    let news = fleet.record_limit("a", 40, word(Some(1.0), 9_000), at(9_000));
     expect_that!(news, eq(change(Some(1.0), Some(1.0))));
-    let told = fleet.limits_told(false, at(9_100));
+    let told = fleet.limits_to_send(false, at(9_100));
     expect_that!(told.iter().map(|told| told.incarnation).collect::<Vec<_>>(), eq(&vec![40]));
 }
 
@@ -124,12 +124,12 @@
 fn what_is_told_on_is_held_by_whoever_is_told() {
     let (mut one, mut other) = (Fleet::new("here"), Fleet::new("there"));
     heard(&mut one, Some(0.5), 1_000);
-    let news = one.limits_told(false, at(1_200));
+    let news = one.limits_to_send(false, at(1_200));
     expect_that!(news, len(eq(1)));
-    expect_that!(one.limits_told(false, at(9_000)), is_empty());
-    expect_that!(one.limits_told(true, at(9_000)), len(eq(1)));
+    expect_that!(one.limits_to_send(false, at(9_000)), is_empty());
+    expect_that!(one.limits_to_send(true, at(9_000)), len(eq(1)));
     for limited in news {
         let word = limited.report(at(5_000));
-        expect_that!(other.named_limit("a", 0, word, at(5_000)), eq(change(None, Some(0.5))));
+        expect_that!(other.record_limit("a", 0, word, at(5_000)), eq(change(None, Some(0.5))));
     }
 }
--- a/tests/testsuite/suspension.rs
+++ b/tests/testsuite/suspension.rs
@@ -7,7 +7,7 @@
     gateway::message::{Message, Report},
     util::clock::Clock,
 };
-use mastweir_core::{gateway::Told, time::Uptime};
+use mastweir_core::{gateway::LoadReport, time::Uptime};
 use mastweir_test_support::{
     scripted::{Act, Scripted},
     site::{Site, exchange, request, route, wait_for},
@@ -155,7 +155,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     loop {
         for server in servers.iter().filter(|_| on.load(Ordering::SeqCst)) {
-            let told = Told { running: 3, group_open: true, ..Told::default() };
+            let told = LoadReport { running: 3, group_open: true, ..LoadReport::default() };
             let report = Message::Report(Report { server: *server, told, lead: None });
             socket.send_to(&postcard::to_stdvec(&report)?, gateway).await?;
         }
