--- a/crates/mastweir-core/src/outcome/attempt.rs
+++ b/crates/mastweir-core/src/outcome/attempt.rs
@@ -1,35 +1,36 @@
-//! One try of a call at one server, with its life cycle in its type.
+//! One attempt of a call at one server, as a type-state machine.
 //!
 //! ```text
-//! Connecting --sent--> Sent --head--> Answering --end--> (whole answer)
+//! Connecting --sent--> Sent --head--> Answering --end--> (complete answer)
 //!    |                |                |
 //!    +----------------+----------------+--> Evidence
 //! ```
 //!
-//! The state decides what a failure proves: a connection that fails to open
-//! proves that nothing left, one that is lost later proves nothing. A caller
-//! of this module can't ask an attempt that is still opening for an answer,
-//! since only the types that can have one offer it.
+//! The state decides what a failure proves. A connection that fails to open
+//! proves that no byte was sent; a connection that is lost later proves nothing.
+//! Each state is a type of its own and offers only the transitions that are
+//! possible in it. Entry instances use this module through
+//! [`Call`](super::Call).
 
 use super::{Evidence, Refusal};
 use crate::id::Fence;
 
-/// The connection is being opened; no byte of the attempt has left.
+/// The connection is being opened; no byte has been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Connecting;
 
-/// The order has left; the server may run it.
+/// The order was sent; the server may run it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent;
 
-/// The head of the answer has come.
+/// The head of the answer was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answering {
-    /// Bytes of the answer's body that came in this attempt or were skipped.
+    /// Units of the answer received so far, including those of earlier attempts.
     offset: u64,
 }
 
-/// A try at one server, in state `S`.
+/// An attempt at one server, in state `S`.
 ///
 /// ```
 /// use mastweir_core::{
@@ -56,46 +57,46 @@
         self.number
     }
 
-    /// The agent that it is addressed to.
+    /// Agent incarnation that the attempt is addressed to.
     pub const fn fence(&self) -> &Fence {
         &self.fence
     }
 
-    /// Offset in the answer's body that it asks for, in bytes or events.
+    /// First unit of the answer's body that the attempt requests.
     pub const fn from(&self) -> u64 {
         self.from
     }
 }
 
 impl Attempt<Connecting> {
-    /// Starts an attempt that asks for the answer from `from` on.
+    /// Creates an attempt that requests the answer from unit `from`.
     pub const fn new(number: u32, fence: Fence, from: u64) -> Self {
         Self { number, fence, from, state: Connecting }
     }
 
-    /// The connection did not open.
+    /// Ends the attempt because the connection did not open.
     pub fn fail(self) -> Evidence {
         Evidence::NotSent
     }
 
-    /// The order is about to leave. Said before the first byte does.
+    /// Marks the order as sent. Called before the first byte is written.
     pub fn sent(self) -> Attempt<Sent> {
         Attempt { number: self.number, fence: self.fence, from: self.from, state: Sent }
     }
 }
 
 impl Attempt<Sent> {
-    /// The agent refused.
+    /// Ends the attempt with the agent's refusal.
     pub fn refuse(self, why: Refusal) -> Evidence {
         Evidence::Refused(why)
     }
 
-    /// The connection was lost.
+    /// Ends the attempt because the connection was lost.
     pub fn lose(self) -> Evidence {
         Evidence::Lost
     }
 
-    /// The head of the answer came.
+    /// Records that the head of the answer was received.
     pub fn head(self) -> Attempt<Answering> {
         let state = Answering { offset: self.from };
         Attempt { number: self.number, fence: self.fence, from: self.from, state }
@@ -103,8 +104,8 @@
 }
 
 impl Attempt<Answering> {
-    /// Takes `len` units that start at `at`. True if they are the next ones;
-    /// repeated or missing units are not taken.
+    /// Accepts `len` units starting at `at`. Returns false, and ignores them, unless
+    /// they directly follow the units received so far.
     pub fn accept(&mut self, at: u64, len: u64) -> bool {
         if at != self.state.offset {
             return false;
@@ -113,12 +114,12 @@
         true
     }
 
-    /// Units of the answer seen so far, those before this attempt included.
+    /// Units of the answer received so far, including those of earlier attempts.
     pub const fn offset(&self) -> u64 {
         self.state.offset
     }
 
-    /// The connection was lost, or the agent gave up in mid-answer.
+    /// Ends the attempt because the connection was lost or the agent aborted the answer.
     pub fn lose(self) -> Evidence {
         Evidence::Lost
     }
--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -1,90 +1,86 @@
-//! The life of one call at an entry instance: events in, actions out.
+//! State machine of one call at an entry instance, without I/O.
 //!
-//! The shell (sockets and timers) feeds an [`Event`] and carries out the one
-//! [`Action`] that comes back. Two kinds of call differ in what a failure
-//! allows, see [`RetryPolicy`]. At the end comes [`Action::Finish`], exactly once.
+//! The caller of this module owns sockets and timers. It passes in each
+//! [`Event`] and carries out the [`Action`] that is returned. The
+//! [`RetryPolicy`] decides what may follow a failed attempt. Every call ends
+//! with exactly one [`Action::Finish`].
 
 use super::{Answering, Attempt, Connecting, Evidence, Outcome, Refusal, Sent};
 use crate::{id::Fence, route::RetryBudget};
 use std::{mem, time::Duration};
 
-/// Tries of one call at most, the first included.
+/// Maximum attempts of a call, or at each agent of an at-most-once call.
 const ATTEMPTS_MAX: u32 = 4;
-/// Wait before the second try at the same agent; doubles with each.
+/// Wait before the second attempt at the same agent; doubles with each attempt.
 const BACKOFF_MIN: Duration = Duration::from_millis(20);
 
-/// What a failure of an attempt allows.
+/// What may follow a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// May be repeated: any server, chosen anew for each attempt.
+    /// The call may be repeated; a server is chosen anew for each attempt.
     Repeatable {
-        /// Whether another server can go on where one was lost. Otherwise an
-        /// answer begins anew, which only works before the caller saw of it.
+        /// Whether another server can continue an interrupted answer. Otherwise the
+        /// answer restarts, which is possible only until the caller has received a part.
         resumable: bool,
     },
-    /// Runs at most once: these agents only, in this order.
+    /// The call runs at most once, at the given agents only and in their order.
     AtMostOnce {
-        /// The operation's fences.
         fences: Vec<Fence>,
-        /// Whether only this call submits the operation. Then a connection
-        /// that never opened proves that it did not run there.
+        /// Whether no other call submits the operation. A connection that never
+        /// opened then proves that the operation did not run there.
         exclusive: bool,
     },
 }
 
-/// What happened to the current attempt, or to the caller.
+/// What happened to the current attempt or to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The connection is open and the order is about to leave.
+    /// The connection is open and the order is about to be sent.
     Connected,
-    /// The connection did not open.
     ConnectFailed,
-    /// The agent refused.
+    /// The agent refused the order.
     Refused(Refusal),
-    /// The head of the answer came.
+    /// The head of the answer was received.
     Head,
-    /// Unit number `at` of the answer's body came.
+    /// A unit of the answer's body was received.
     Chunk {
-        /// Its number, from 0.
+        /// Number of the unit, from 0.
         at: u64,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End,
-    /// The connection was lost, or the agent gave up in mid-answer.
+    /// The connection was lost, or the agent aborted the answer.
     Lost,
-    /// The time for the call is over.
+    /// The deadline of the call has passed.
     Deadline,
-    /// The caller left.
     CallerDisconnected,
 }
 
-/// What the shell does next.
+/// What the owner of the call does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Choose a server other than the one tried last, then [`Call::routed`].
+    /// Choose a server that was not tried yet, then call [`Call::routed`].
     Route,
-    /// Wait, then open a connection to the agent and ask from unit `from` on.
+    /// Wait, then connect to the agent and request the answer from unit `from`.
     Connect {
-        /// The agent.
         fence: Fence,
-        /// First unit wanted.
         from: u64,
-        /// Wait before, without jitter.
+        /// Wait before the attempt, without jitter.
         wait: Duration,
     },
     /// Wait for the next event of the attempt.
     AwaitEvent,
-    /// Hand the head of the answer to the caller.
+    /// Forward the head of the answer to the caller.
     ForwardHead,
-    /// Hand the unit to the caller.
+    /// Forward the unit to the caller.
     ForwardChunk,
-    /// Tell the caller. Nothing comes after it.
+    /// Report the outcome to the caller. No action follows.
     Finish {
-        /// The truth.
         outcome: Outcome,
-        /// The last thing known of the attempt that decided it.
+        /// Evidence from the attempt that decided the outcome; `None` if the call ended
+        /// for another reason.
         evidence: Option<Evidence>,
-        /// Whether the agent is to be told to stop.
+        /// Whether to send the agent a cancellation.
         cancel: bool,
     },
 }
@@ -98,7 +94,7 @@
     Over,
 }
 
-/// One call. See the [module](self).
+/// State of one call. See the [module](self).
 ///
 /// ```
 /// use mastweir_core::{
@@ -109,40 +105,39 @@
 ///
 /// let fence = Fence { server: "s1".to_owned(), incarnation: Incarnation(7) };
 /// let mut budget = RetryBudget::default();
-/// let plan = RetryPolicy::AtMostOnce { fences: vec![fence], exclusive: true };
-/// let mut call = Call::new(plan);
+/// let policy = RetryPolicy::AtMostOnce { fences: vec![fence], exclusive: true };
+/// let mut call = Call::new(policy);
 /// assert!(matches!(call.start(), Action::Connect { .. }));
 /// assert_eq!(call.handle(Event::Connected, &mut budget), Action::AwaitEvent);
-/// // Lost after it was sent: ask the same agent again, which joins or replays.
+/// // Lost after sending: retry at the same agent, which joins the run or replays the answer.
 /// assert!(matches!(call.handle(Event::Lost, &mut budget), Action::Connect { .. }));
-/// // Not even that works before the deadline: the truth is "unknown".
+/// // The deadline passes during the retry: whether the operation ran is unknown.
 /// let end = call.handle(Event::Deadline, &mut budget);
 /// assert!(matches!(end, Action::Finish { outcome: Outcome::Unknown, .. }));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Call {
-    plan: RetryPolicy,
+    policy: RetryPolicy,
     phase: Phase,
-    /// Index of the current fence of a call that runs once.
+    /// Index of the current fence of an at-most-once call.
     fence_index: usize,
     attempts: u32,
-    /// Tries at the current fence.
+    /// Attempts at the current fence.
     fence_attempts: u32,
-    /// Whether an attempt has left that may have run.
+    /// Whether an attempt may have run.
     may_have_run: bool,
-    /// Whether an attempt was lost at the current fence.
+    /// Whether an attempt at the current fence lost its connection.
     connection_lost: bool,
     head_seen: bool,
-    /// Whether the caller has seen a part of the answer.
+    /// Whether the caller has received a part of the answer.
     committed: bool,
     delivered: u64,
 }
 
 impl Call {
-    /// A call that has not begun.
-    pub const fn new(plan: RetryPolicy) -> Self {
+    pub const fn new(policy: RetryPolicy) -> Self {
         Self {
-            plan,
+            policy,
             phase: Phase::Routing,
             fence_index: 0,
             attempts: 0,
@@ -155,36 +150,35 @@
         }
     }
 
-    /// The first action.
+    /// Returns the first action.
     pub fn start(&mut self) -> Action {
-        match &self.plan {
+        match &self.policy {
             RetryPolicy::Repeatable { .. } => Action::Route,
             RetryPolicy::AtMostOnce { .. } => self.connect_fence(None),
         }
     }
 
-    /// Attempts begun.
+    /// Attempts started so far.
     pub const fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Units of the answer that were handed on.
+    /// Units of the answer that were forwarded to the caller.
     pub const fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// Place in the list of a call that runs once, from 0.
+    /// Index of the current fence of an at-most-once call, from 0.
     pub const fn fence_index(&self) -> usize {
         self.fence_index
     }
 
-    /// The shell begins to hand the answer to the caller as it comes, so it
-    /// can't begin anew.
+    /// Records that the answer is being streamed to the caller, so it can't restart.
     pub const fn mark_committed(&mut self) {
         self.committed = true;
     }
 
-    /// The answer to [`Action::Route`]; `None` if no server will do.
+    /// Takes the result of [`Action::Route`]; `None` if no server is available.
     pub fn routed(&mut self, fence: Option<Fence>) -> Action {
         match fence {
             Some(fence) => self.connect(fence, Duration::ZERO),
@@ -192,7 +186,7 @@
         }
     }
 
-    /// Takes an event in.
+    /// Processes an event and returns the next action.
     pub fn handle(&mut self, event: Event, budget: &mut RetryBudget) -> Action {
         match (mem::replace(&mut self.phase, Phase::Over), event) {
             (Phase::Over, _) => Action::AwaitEvent,
@@ -223,7 +217,7 @@
             (Phase::Answering(attempt), Event::Lost | Event::Refused(_)) => {
                 self.on_lost(attempt.lose(), budget)
             }
-            // A late or foreign event changes nothing.
+            // A late event, or one that does not fit the phase, changes nothing.
             (phase, _) => {
                 self.phase = phase;
                 Action::AwaitEvent
@@ -232,7 +226,7 @@
     }
 
     fn on_not_sent(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
-        match &self.plan {
+        match &self.policy {
             RetryPolicy::Repeatable { .. } => self.reroute(evidence, budget),
             RetryPolicy::AtMostOnce { exclusive: true, .. } if !self.connection_lost => {
                 self.next_fence(evidence)
@@ -243,27 +237,26 @@
 
     fn on_refused(&mut self, why: Refusal, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         let elsewhere = why.is_local();
-        match &self.plan {
+        match &self.policy {
             RetryPolicy::Repeatable { .. } if elsewhere => self.reroute(evidence, budget),
             RetryPolicy::Repeatable { .. } => self.give_up(Some(evidence)),
             RetryPolicy::AtMostOnce { exclusive, .. } => {
-                let consumed = *exclusive && !self.connection_lost;
-                if !why.is_tombstone() && !consumed {
+                let never_admitted = *exclusive && !self.connection_lost;
+                if !why.is_tombstone() && !never_admitted {
                     self.may_have_run = true;
                     return self.give_up(Some(evidence));
                 }
-                // A shared operation is refused for good only once every one
-                // of its agents has a tombstone: another submission may be on
-                // its way along the same list.
-                let go_on = !*exclusive || (elsewhere && budget.withdraw());
-                if go_on { self.next_fence(evidence) } else { self.give_up(Some(evidence)) }
+                // Another submission may be trying the fences of a shared operation,
+                // which is refused for good only with tombstones at all of them.
+                let try_next = !*exclusive || (elsewhere && budget.withdraw());
+                if try_next { self.next_fence(evidence) } else { self.give_up(Some(evidence)) }
             }
         }
     }
 
     fn on_lost(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         self.connection_lost = true;
-        match self.plan {
+        match self.policy {
             RetryPolicy::Repeatable { resumable } => {
                 self.may_have_run = true;
                 if !resumable && !self.restart_answer() {
@@ -283,7 +276,8 @@
         Action::Route
     }
 
-    /// Begins the answer anew. False if the caller has seen some of it.
+    /// Discards the partial answer so that it can restart. Returns false if the caller has
+    /// received a part.
     fn restart_answer(&mut self) -> bool {
         if self.committed {
             return false;
@@ -293,7 +287,8 @@
         true
     }
 
-    /// Asks the same agent again: its ledger joins, replays or runs.
+    /// Retries at the same agent, whose deduplication table joins the run, replays the
+    /// answer or runs the operation.
     fn retry_fence(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         if self.fence_attempts >= ATTEMPTS_MAX || !budget.withdraw() {
             self.may_have_run = true;
@@ -303,7 +298,9 @@
     }
 
     fn next_fence(&mut self, evidence: Evidence) -> Action {
-        let RetryPolicy::AtMostOnce { fences, .. } = &self.plan else { return Action::AwaitEvent };
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
+            return Action::AwaitEvent;
+        };
         if self.fence_index + 1 >= fences.len() {
             return self.give_up(Some(evidence));
         }
@@ -314,7 +311,9 @@
     }
 
     fn connect_fence(&mut self, wait: Option<Duration>) -> Action {
-        let RetryPolicy::AtMostOnce { fences, .. } = &self.plan else { return Action::AwaitEvent };
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
+            return Action::AwaitEvent;
+        };
         match fences.get(self.fence_index).cloned() {
             Some(fence) => self.connect(fence, wait.unwrap_or_default()),
             None => self.give_up(None),
@@ -331,9 +330,9 @@
 
     fn stop(&mut self, phase: &Phase) -> Action {
         let sent = matches!(phase, Phase::Sent(_) | Phase::Answering(_));
-        // The current place of a shared operation may have been reached by
-        // another submission, and so may one that was not tried yet.
-        let shared = matches!(self.plan, RetryPolicy::AtMostOnce { exclusive: false, .. });
+        // Another submission of a shared operation may have run it at the current
+        // fence, or at one that this call has not tried.
+        let shared = matches!(self.policy, RetryPolicy::AtMostOnce { exclusive: false, .. });
         let maybe = self.may_have_run || sent || self.connection_lost || shared;
         let outcome = if maybe { Outcome::Unknown } else { Outcome::NotRun };
         Action::Finish { outcome, evidence: None, cancel: sent }
--- a/crates/mastweir-core/src/outcome/dedup.rs
+++ b/crates/mastweir-core/src/outcome/dedup.rs
@@ -1,15 +1,14 @@
-//! An agent's record of the operations that may not be repeated.
+//! An agent's deduplication table for operations that must not be repeated.
 //!
-//! The agent is the fence beside the effect: the ledger answers, for an order,
-//! whether to run it, to join the run in progress, to replay the kept answer or
-//! to refuse. A refusal is remembered as a tombstone, so a late copy of the
-//! order is refused as well.
+//! For each order the table decides whether the agent runs it, joins the run in
+//! progress, replays the kept answer or refuses. A refusal is kept as a
+//! tombstone, so that a late copy of the order is refused as well.
 //!
-//! The agent has no disk. Two rules make forgetting safe. An order names the
-//! incarnation it is for, and a new incarnation refuses those of an earlier
-//! one. And an order carries its expiry on *this agent's* clock (the agent's
-//! reports carry its uptime, so an entry can compute it): past the expiry the
-//! order is refused, and only then may its record be dropped.
+//! The table is in memory only. Two rules make it safe to lose or drop records.
+//! An order names the incarnation of the agent it is for, and any other
+//! incarnation refuses it. An order also carries its expiry on the clock of
+//! that agent, which entry instances compute from the uptime in the agent's
+//! reports. The agent refuses an expired order, so its record can be dropped.
 
 use super::Refusal;
 use crate::{
@@ -21,66 +20,63 @@
     time::Duration,
 };
 
-/// An order to run an operation, as far as the ledger looks at it.
+/// The part of an order that the table needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Order {
-    /// The operation.
     pub op: OpId,
     /// Incarnation of the agent that the order is for.
     pub incarnation: Incarnation,
-    /// Agent's uptime past which the order is void.
+    /// Uptime of the agent after which it refuses the order.
     pub expires: Uptime,
 }
 
 /// What an agent does with an order. `A` is a handle to an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict<A> {
-    /// First of its kind: queue and run it.
+    /// Queue and run the operation.
     Run,
-    /// It waits or runs already, or ended with this answer: read it from there.
+    /// The operation was admitted before; its answer is read from this handle.
     Join(A),
-    /// Do not run it.
     Refuse(Refusal),
 }
 
-/// What an agent knows of an operation after it was sealed.
+/// What an agent knows of an operation after [`DedupTable::seal`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SealResult {
-    /// It never ran here and never will.
+    /// The operation never ran here and never will.
     NotRun,
-    /// It waits or runs now, or has ended.
+    /// The operation is queued or running, or has ended.
     Admitted,
-    /// The agent can't know.
+    /// The agent can't tell whether the operation ran.
     Unknown,
 }
 
-/// Bounds of a ledger.
+/// Bounds of a deduplication table.
 #[derive(Clone, Copy, Debug)]
 pub struct DedupLimits {
-    /// Records at most.
-    pub records: usize,
-    /// Bytes of kept answers at most.
-    pub kept: usize,
-    /// Bytes of one kept answer at most.
-    pub answer: usize,
-    /// How far ahead an expiry may lie.
-    pub horizon: Duration,
+    pub max_records: usize,
+    /// Maximum total size of the kept answers, in bytes.
+    pub max_kept: usize,
+    /// Maximum size of one kept answer, in bytes.
+    pub max_answer: usize,
+    /// Maximum time until the expiry of an order.
+    pub max_expiry: Duration,
 }
 
 impl Default for DedupLimits {
     fn default() -> Self {
         Self {
-            records: 200_000,
-            kept: 32 << 20,
-            answer: 64 << 10,
-            horizon: Duration::from_secs(1_200),
+            max_records: 200_000,
+            max_kept: 32 << 20,
+            max_answer: 64 << 10,
+            max_expiry: Duration::from_secs(1_200),
         }
     }
 }
 
 #[derive(Clone, Debug)]
 enum State<A> {
-    Waiting(A),
+    Queued(A),
     Running(A),
     Ended { answer: Option<A>, size: usize },
     Incomplete,
@@ -93,7 +89,7 @@
     state: State<A>,
 }
 
-/// The record of one incarnation of an agent.
+/// The deduplication table of one incarnation of an agent.
 ///
 /// ```
 /// use mastweir_core::{
@@ -102,17 +98,17 @@
 ///     time::Uptime,
 /// };
 ///
-/// let mut ledger = DedupTable::new(Incarnation(1), DedupLimits::default());
+/// let mut table = DedupTable::new(Incarnation(1), DedupLimits::default());
 /// let order = Order {
 ///     op: OpId::from_key("quaystep", "rebook-17"),
 ///     incarnation: Incarnation(1),
 ///     expires: Uptime::from_secs(600),
 /// };
 /// let now = Uptime::from_secs(1);
-/// assert_eq!(ledger.admit(&order, now, "answer"), Verdict::Run);
-/// ledger.cancel(order.op, Refusal::Overloaded);
-/// // A late copy is refused, and so the caller may be told "not run".
-/// let late = ledger.admit(&order, now, "answer");
+/// assert_eq!(table.admit(&order, now, "answer"), Verdict::Run);
+/// table.cancel(order.op, Refusal::Overloaded);
+/// // A late copy is refused, so the caller can be told that the operation did not run.
+/// let late = table.admit(&order, now, "answer");
 /// assert_eq!(late, Verdict::Refuse(Refusal::Overloaded));
 /// ```
 #[derive(Clone, Debug)]
@@ -121,60 +117,63 @@
     limits: DedupLimits,
     records: HashMap<OpId, Record<A>>,
     expiry: BTreeMap<(Uptime, OpId), ()>,
-    kept: usize,
+    kept_bytes: usize,
 }
 
 impl<A: Clone> DedupTable<A> {
-    /// An empty ledger, for a process that has just started.
     pub fn new(incarnation: Incarnation, limits: DedupLimits) -> Self {
-        Self { incarnation, limits, records: HashMap::new(), expiry: BTreeMap::new(), kept: 0 }
+        Self {
+            incarnation,
+            limits,
+            records: HashMap::new(),
+            expiry: BTreeMap::new(),
+            kept_bytes: 0,
+        }
     }
 
-    /// Number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes of answers kept.
-    pub const fn kept(&self) -> usize {
-        self.kept
+    /// Total size of the kept answers, in bytes.
+    pub const fn kept_bytes(&self) -> usize {
+        self.kept_bytes
     }
 
-    /// Decides on an order. After `Run` its answer is to be written to `answer`.
+    /// Decides on an order. After [`Verdict::Run`] the answer is written to `answer`.
     pub fn admit(&mut self, order: &Order, now: Uptime, answer: A) -> Verdict<A> {
         self.expire(now);
-        if let Some(refusal) = self.void(order, now) {
+        if let Some(refusal) = self.check_order(order, now) {
             return Verdict::Refuse(refusal);
         }
         if let Some(record) = self.records.get(&order.op) {
             return verdict(&record.state);
         }
-        if self.records.len() >= self.limits.records {
+        if self.records.len() >= self.limits.max_records {
             return Verdict::Refuse(Refusal::TableFull);
         }
-        self.insert(order, State::Waiting(answer));
+        self.insert(order, State::Queued(answer));
         Verdict::Run
     }
 
-    /// The operation leaves the queue. False if it may not run any more.
+    /// Marks a queued operation as running. Returns false if it must not run any more.
     #[must_use]
     pub fn start(&mut self, op: OpId) -> bool {
         let Some(record) = self.records.get_mut(&op) else { return false };
-        let State::Waiting(answer) = &record.state else { return false };
+        let State::Queued(answer) = &record.state else { return false };
         record.state = State::Running(answer.clone());
         true
     }
 
-    /// Refuses an operation that has not begun, for good. False if it has.
+    /// Refuses an operation for good. Returns false if it has started.
     pub fn cancel(&mut self, op: OpId, why: Refusal) -> bool {
         let Some(record) = self.records.get_mut(&op) else { return false };
         match record.state {
-            State::Waiting(_) => {
+            State::Queued(_) => {
                 record.state = State::Tombstone(why);
                 true
             }
@@ -183,7 +182,7 @@
         }
     }
 
-    /// The engine never saw it although it was started: a tombstone after all.
+    /// Turns a started operation that did not reach the engine into a tombstone.
     pub fn cancel_started(&mut self, op: OpId, why: Refusal) {
         let Some(record) = self.records.get_mut(&op) else { return };
         if matches!(record.state, State::Running(_)) {
@@ -191,18 +190,18 @@
         }
     }
 
-    /// The whole answer is there, `size` bytes of it.
+    /// Records that the answer is complete, with a size of `size` bytes.
     pub fn finish(&mut self, op: OpId, size: usize) {
-        let fits = size <= self.limits.answer && self.kept + size <= self.limits.kept;
+        let fits = size <= self.limits.max_answer && self.kept_bytes + size <= self.limits.max_kept;
         let Some(record) = self.records.get_mut(&op) else { return };
         let State::Running(answer) = &record.state else { return };
         let answer = fits.then(|| answer.clone());
         let size = if fits { size } else { 0 };
         record.state = State::Ended { answer, size };
-        self.kept += size;
+        self.kept_bytes += size;
     }
 
-    /// It began, and its answer will never be whole.
+    /// Records that a started operation will never have a complete answer.
     pub fn mark_incomplete(&mut self, op: OpId) {
         let Some(record) = self.records.get_mut(&op) else { return };
         if matches!(record.state, State::Running(_)) {
@@ -210,11 +209,11 @@
         }
     }
 
-    /// Makes sure that an operation which has not begun never will, and tells
-    /// what is known of it.
+    /// Adds a tombstone for an operation that was not admitted yet, and returns what is
+    /// known of it.
     pub fn seal(&mut self, order: &Order, now: Uptime) -> SealResult {
         self.expire(now);
-        if self.void(order, now).is_some() {
+        if self.check_order(order, now).is_some() {
             return SealResult::Unknown;
         }
         match self.records.get(&order.op) {
@@ -222,7 +221,7 @@
                 State::Tombstone(_) => SealResult::NotRun,
                 _ => SealResult::Admitted,
             },
-            None if self.records.len() >= self.limits.records => SealResult::Unknown,
+            None if self.records.len() >= self.limits.max_records => SealResult::Unknown,
             None => {
                 self.insert(order, State::Tombstone(Refusal::Withdrawn));
                 SealResult::NotRun
@@ -230,31 +229,31 @@
         }
     }
 
-    /// Drops the records whose orders are void by now.
+    /// Drops the records of expired orders.
     pub fn expire(&mut self, now: Uptime) {
         while let Some((&(expires, op), ())) = self.expiry.first_key_value() {
             if expires >= now {
                 return;
             }
             self.expiry.pop_first();
-            self.drop_record(op);
+            self.remove_record(op);
         }
     }
 
-    fn drop_record(&mut self, op: OpId) {
+    fn remove_record(&mut self, op: OpId) {
         let Some(record) = self.records.remove(&op) else { return };
         if let State::Ended { size, .. } = record.state {
-            self.kept -= size;
+            self.kept_bytes -= size;
         }
     }
 
-    fn void(&self, order: &Order, now: Uptime) -> Option<Refusal> {
+    fn check_order(&self, order: &Order, now: Uptime) -> Option<Refusal> {
         if order.incarnation != self.incarnation {
             return Some(Refusal::OtherIncarnation);
         }
-        // An expiry too far ahead would pin its record in memory.
-        let ahead = order.expires > now + self.limits.horizon;
-        (order.expires < now || ahead).then_some(Refusal::Expired)
+        // An expiry too far ahead would keep its record in memory for too long.
+        let is_too_far = order.expires > now + self.limits.max_expiry;
+        (order.expires < now || is_too_far).then_some(Refusal::Expired)
     }
 
     fn insert(&mut self, order: &Order, state: State<A>) {
@@ -266,7 +265,7 @@
 
 fn verdict<A: Clone>(state: &State<A>) -> Verdict<A> {
     match state {
-        State::Waiting(answer) | State::Running(answer) => Verdict::Join(answer.clone()),
+        State::Queued(answer) | State::Running(answer) => Verdict::Join(answer.clone()),
         State::Ended { answer: Some(answer), .. } => Verdict::Join(answer.clone()),
         State::Ended { answer: None, .. } => Verdict::Refuse(Refusal::AnswerEvicted),
         State::Incomplete => Verdict::Refuse(Refusal::Incomplete),
--- a/crates/mastweir-core/src/outcome/mod.rs
+++ b/crates/mastweir-core/src/outcome/mod.rs
@@ -1,17 +1,19 @@
-//! How a request ends: exactly once, with the truth.
+//! At-most-once execution of requests, and the outcome reported to the caller.
 //!
-//! There are three outcomes ([`Outcome`]). "Not run" is a promise about the
-//! future too, so it needs [`Evidence`] that the attempt cannot run any more.
+//! A request ends with one of three outcomes ([`Outcome`]). "Not run" also
+//! promises that the request will not run later, so it needs [`Evidence`] that no
+//! attempt can run any more.
 //!
-//! The way chosen (`docs/design/outcomes.md` weighs the others): a call that
-//! may not be repeated is bound to an ordered list of [`Fence`]s, each one life
-//! of one agent. The agent's [`DedupTable`] runs an operation at most once and
-//! remembers a refusal as a tombstone, and the next fence of the list may be
-//! tried only on the tombstone of the one before. The list travels with the
-//! caller, in a [`Ticket`], or is kept in the object API under a plain key.
-//! Entry instances keep nothing, so none of them can lose it.
+//! A call that must not be repeated is bound to an ordered list of [`Fence`]s,
+//! each of which names one incarnation of one agent. The agent's [`DedupTable`]
+//! runs an operation at most once and keeps a refusal as a tombstone. The next
+//! fence is tried only with a tombstone of the previous one. The caller carries
+//! the list in a [`Ticket`], or the platform's store holds it under the caller's
+//! idempotency key. Entry instances keep no state of the operation.
+//! `docs/design/outcomes.md` compares this design with others.
 //!
-//! [`Call`] is the entry's side: events in, actions out.
+//! [`Call`] runs in entry instances, [`DedupTable`] in agents. Both are state
+//! machines without I/O.
 //!
 //! [`Fence`]: crate::id::Fence
 
@@ -28,15 +30,15 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a caller is told of a request.
+/// Outcome of a request, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Done,
-    /// It was not run, and never will be.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -50,36 +52,37 @@
     }
 }
 
-/// Why an agent did not run an operation. Each leaves a tombstone behind,
-/// except those for which [`Refusal::is_tombstone`] says otherwise.
+/// Why an agent refused an order. [`Refusal::is_tombstone`] tells whether the agent
+/// keeps a tombstone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The queue is full, and others are owed more.
+    /// The queue is full, or the engine accepts no requests at present.
     Overloaded,
     /// The server is leaving.
     Leaving,
-    /// It waited in the queue until its deadline.
+    /// The deadline passed before the operation started.
     Deadline,
-    /// It was withdrawn before it ran.
+    /// The operation was withdrawn before it started.
     Withdrawn,
-    /// The server does not serve that.
+    /// The server does not offer the requested service.
     NotServed,
-    /// The engine could not be reached, and no byte had left.
+    /// The connection to the engine did not open, so no byte was sent.
     EngineUnreachable,
-    /// Addressed to another incarnation of the agent: that one may have run it.
+    /// The order is for another incarnation of the agent, which may have run it.
     OtherIncarnation,
-    /// Too old for the agent to know whether it ran.
+    /// The agent may have dropped its record of the operation, or the expiry is too far
+    /// ahead.
     Expired,
-    /// The ledger has no room to remember it.
+    /// The deduplication table is full.
     TableFull,
-    /// It ran, and its answer is not kept any more.
+    /// The operation ran, but its answer is not kept.
     AnswerEvicted,
-    /// It began to run, and did not come to an end.
+    /// The operation started but did not end with a complete answer.
     Incomplete,
 }
 
 impl Refusal {
-    /// Whether the refusing agent made sure that the operation never runs there.
+    /// Whether the operation will never run at the refusing agent.
     pub const fn is_tombstone(self) -> bool {
         match self {
             Self::Overloaded
@@ -96,19 +99,19 @@
         }
     }
 
-    /// Whether another server might take it at once.
+    /// Whether another server may accept the request now.
     pub const fn is_local(self) -> bool {
         !matches!(self, Self::Deadline | Self::Withdrawn)
     }
 }
 
-/// What is known of an attempt that brought no answer.
+/// What is known of an attempt that ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evidence {
-    /// The connection never opened: no byte of the attempt left.
+    /// The connection did not open, so no byte was sent.
     NotSent,
-    /// The agent refused it.
+    /// The agent refused the order.
     Refused(Refusal),
-    /// Sent, and then the connection was lost.
+    /// The connection was lost after the order was sent.
     Lost,
 }
--- a/crates/mastweir-core/src/outcome/ticket.rs
+++ b/crates/mastweir-core/src/outcome/ticket.rs
@@ -1,13 +1,14 @@
-//! A caller's proof of where its operation may run.
+//! Tickets, which bind a caller's operation to an ordered list of fences.
 //!
-//! A ticket names an operation and an ordered list of agents' lives (fences).
-//! Any entry instance of any hall that is handed the ticket tries the fences in
-//! that order, and goes on to the next one only with the tombstone of the one
-//! before. No entry keeps anything, so a crash, a cut between entries or an
-//! outage of the platform loses nothing that the ticket does not say itself.
+//! A fence is one incarnation of one agent. Any entry instance of any hall
+//! issues and accepts tickets. The entry tries the fences in order, and the next
+//! one only with a tombstone of the previous one. All state of the operation is
+//! in the ticket and at the agents, so a crash of an entry, a network partition
+//! or an outage of the platform loses none.
 //!
-//! The ticket is text: `mw1.` and the lower-case hexadecimal of a `postcard`
-//! message followed by its keyed hash. It is bound to its customer.
+//! A ticket is text: `mw1.` and, in lower-case hexadecimal, a `postcard` message
+//! followed by its truncated keyed hash. It is valid for one customer and
+//! service only.
 
 use crate::{
     id::{Fence, OpId},
@@ -15,52 +16,51 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Bytes of the keyed hash at the end of a ticket.
+/// Length of the keyed hash at the end of a ticket, in bytes.
 const MAC_LEN: usize = 16;
 const PREFIX: &str = "mw1.";
-/// Characters of a ticket at most, so that foreign input is bounded.
+/// Maximum hexadecimal characters of a ticket; bounds untrusted input.
 const TEXT_MAX: usize = 1_024;
 
-/// One place where an operation may run.
+/// An agent at which an operation may run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// The agent's life that fences it.
     pub fence: Fence,
-    /// That agent's uptime past which it refuses.
+    /// Uptime of the agent after which it refuses the operation.
     pub expires: Uptime,
 }
 
-/// Where an operation may run, in order.
+/// An operation and the agents at which it may run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The operation.
     pub op: OpId,
-    /// Name of the customer.
     pub customer: String,
-    /// Name of the service.
     pub service: String,
-    /// Places to try in this order.
+    /// Agents in the order in which they are tried.
     pub bindings: Vec<Binding>,
 }
 
-/// Why a text is no ticket.
+/// Why a ticket is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TicketError {
-    /// Not made by this fleet, or changed on the way.
-    #[error("reading the ticket: not one of ours; get a new one with POST /v1/tickets")]
+    /// The ticket is malformed, was not issued by this fleet or was altered.
+    #[error(
+        "invalid ticket: not issued by this fleet, or altered; get a new one with POST /v1/tickets"
+    )]
     Forged,
-    /// Made for another customer or service.
-    #[error("reading the ticket: made for another customer or service; get one of your own")]
+    #[error(
+        "invalid ticket: issued for another customer or service; get a new one with POST /v1/tickets"
+    )]
     WrongOwner,
 }
 
 impl Ticket {
-    /// Whether a key is meant as a ticket rather than as a plain key.
+    /// Whether an idempotency key has the form of a ticket.
     pub fn is_ticket(key: &str) -> bool {
         key.starts_with(PREFIX)
     }
 
-    /// Writes the ticket as text, authenticated under `secret`.
+    /// Encodes the ticket as text, authenticated with `secret`.
     pub fn to_text(&self, secret: &[u8; 32]) -> String {
         let mut raw = postcard::to_stdvec(self).unwrap_or_default();
         let mac = blake3::keyed_hash(secret, &raw);
@@ -69,11 +69,12 @@
         PREFIX.chars().map(String::from).chain(hex).collect()
     }
 
-    /// Reads a ticket that `customer` handed in for `service`.
+    /// Decodes and verifies a ticket that `customer` submitted for `service`.
     ///
     /// # Errors
     ///
-    /// [`TicketError`] if it was not made by this fleet or not for them.
+    /// Returns [`TicketError`] if the ticket was not issued by this fleet, or was issued for
+    /// another customer or service.
     pub fn from_text(
         text: &str,
         secret: &[u8; 32],
@@ -83,9 +84,9 @@
         let raw = decode_hex(text).ok_or(TicketError::Forged)?;
         let split = raw.len().checked_sub(MAC_LEN).ok_or(TicketError::Forged)?;
         let (body, mac) = raw.split_at(split);
-        let mut whole = [0; MAC_LEN];
-        whole.copy_from_slice(&blake3::keyed_hash(secret, body).as_bytes()[..MAC_LEN]);
-        if !constant_time_eq(mac, &whole) {
+        let mut expected = [0; MAC_LEN];
+        expected.copy_from_slice(&blake3::keyed_hash(secret, body).as_bytes()[..MAC_LEN]);
+        if !constant_time_eq(mac, &expected) {
             return Err(TicketError::Forged);
         }
         let ticket: Self = postcard::from_bytes(body).map_err(|_| TicketError::Forged)?;
--- a/crates/mastweir-core/src/route/budget.rs
+++ b/crates/mastweir-core/src/route/budget.rs
@@ -1,53 +1,51 @@
-//! Retries out of a budget over all requests of a process.
+//! Retry budget of an entry instance, shared by all its requests.
 //!
-//! Each request pays a part of a retry in. When everything fails, retries stop
-//! at that part of the load, whatever each request would like, so the fleet's
-//! own retries can't keep it down.
+//! Each request deposits a fraction of a retry. When many requests fail, retries
+//! are limited to that fraction of the load, so that they can't keep an
+//! overloaded fleet overloaded.
 //!
-//! [`RetryWindow`] keeps a bound over all gateways in every window, since their platform
-//! promises one. Nothing of the kind is promised here, and a call's decisions
-//! ([`Call`]) take no time in, so a level is enough.
+//! Gateways use [`RetryWindow`] instead, which bounds the retries of all gateways
+//! within a time window. This budget has no notion of time.
 //!
 //! [`RetryWindow`]: crate::gateway::RetryWindow
-//! [`Call`]: crate::outcome::Call
 
-/// Retries that one request pays for, in thousandths.
+/// Deposit of a request, in thousandths of a retry.
 const DEPOSIT_MILLI: u64 = 100;
 const RETRY_MILLI: u64 = 1_000;
-/// Retries saved up at most.
-const SAVED_MAX_MILLI: u64 = 20_000;
+/// Maximum balance, in thousandths of a retry.
+const BALANCE_MAX_MILLI: u64 = 20_000;
 
-/// A budget of retries.
+/// A retry budget. See the [module](self).
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    level: u64,
+    balance_milli: u64,
     spent: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { level: SAVED_MAX_MILLI / 2, spent: 0 }
+        Self { balance_milli: BALANCE_MAX_MILLI / 2, spent: 0 }
     }
 }
 
 impl RetryBudget {
-    /// A request begins.
+    /// Adds the deposit of a new request.
     pub fn deposit(&mut self) {
-        self.level = (self.level + DEPOSIT_MILLI).min(SAVED_MAX_MILLI);
+        self.balance_milli = (self.balance_milli + DEPOSIT_MILLI).min(BALANCE_MAX_MILLI);
     }
 
-    /// Pays for a retry. False if there is nothing left for it.
+    /// Takes one retry from the budget. Returns false if the balance is too low.
     #[must_use]
     pub fn withdraw(&mut self) -> bool {
-        if self.level < RETRY_MILLI {
+        if self.balance_milli < RETRY_MILLI {
             return false;
         }
-        self.level -= RETRY_MILLI;
+        self.balance_milli -= RETRY_MILLI;
         self.spent += 1;
         true
     }
 
-    /// Retries paid for so far.
+    /// Returns the number of retries taken so far.
     pub const fn spent(&self) -> u64 {
         self.spent
     }
--- a/crates/mastweir-core/src/route/health.rs
+++ b/crates/mastweir-core/src/route/health.rs
@@ -1,36 +1,33 @@
-//! Whether a server is fit, by what calls see.
+//! Outlier ejection of servers by the results of an entry instance's own calls.
 //!
-//! A server is ejected after a run of failures or when calls on it stop making
-//! progress, for a time that doubles with each ejection. It comes back as a
-//! trial_calls: one call at a time until some have ended well. Own signals only: a
-//! report says that the agent is well, not that the engine makes progress.
+//! A server is ejected after consecutive failures, or when a call on it stops
+//! making progress, for a time that doubles with each ejection. Then it is on
+//! trial: it gets one call at a time until some have succeeded. Reports of agents
+//! do not count here: they do not show whether the engine makes progress.
 //!
-//! A gateway leaves servers out by other signs (`gateway::seen`): its sidecars do say
-//! whether a group makes passes, so silence and refusals are what counts, and it has no
-//! trials, since a stream's caller leaves after two seconds without an event.
+//! Gateways exclude servers by other signals, see [`crate::gateway`].
 
 use crate::time::Uptime;
 use std::time::Duration;
 
-/// Failures in a row that eject.
+/// Consecutive failures that eject a server.
 const FAILURES_MAX: u32 = 3;
 const EJECT_BASE: Duration = Duration::from_secs(2);
 const EJECT_DOUBLINGS_MAX: u32 = 4;
-/// Calls that have to end well on trial.
+/// Successful calls that end a trial.
 const TRIAL_CALLS: u32 = 3;
 
-/// What a call saw.
+/// Result of a call on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// It ended well.
     Success,
-    /// No connection, or lost.
+    /// The connection did not open or was lost.
     Failed,
-    /// No token for longer than its step time explains.
+    /// The stream made no progress for too long.
     Stalled,
 }
 
-/// State of a server's health.
+/// Health of a server, by this entry's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     failures: u32,
@@ -40,10 +37,10 @@
 }
 
 impl Health {
-    /// A server of which no call has been seen.
+    /// Health of a server before its first call.
     pub const NEW: Self = Self { failures: 0, ejections: 0, ejected_until: None, trial_calls: 0 };
 
-    /// Takes a signal in. True if it ejects the server now.
+    /// Records the result of a call. Returns true if it ejects the server.
     pub fn record(&mut self, signal: Signal, now: Uptime) -> bool {
         match signal {
             Signal::Success => {
@@ -54,12 +51,12 @@
         }
     }
 
-    /// Whether it is out at `now`.
+    /// Whether the server is ejected at `now`.
     pub fn is_ejected(&self, now: Uptime) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is back on trial at `now`: one call at a time.
+    /// Whether the server is on trial at `now`, and gets one call at a time.
     pub fn is_trial(&self, now: Uptime) -> bool {
         self.trial_calls > 0 && !self.is_ejected(now)
     }
--- a/crates/mastweir-core/src/route/mod.rs
+++ b/crates/mastweir-core/src/route/mod.rs
@@ -1,18 +1,19 @@
-//! The choice of a server.
+//! Choice of a server for a request, in entry instances.
 //!
-//! What an entry knows of a server is old: reports lag, and every entry sees
-//! the same idle server. The way chosen (`docs/design/routing.md` weighs the
-//! others) rests on three things:
+//! Load reports are some seconds old, and all entries receive the same reports,
+//! so choosing the least loaded server would send all requests to it. The choice
+//! therefore considers:
 //!
-//! - a few servers drawn at random, and one of them by *load interpretation*:
-//!   the older the reports, the less they decide, since all entries saw them;
-//! - own requests sent since a report, which it can't know of;
-//! - the prompt's prefix: its home servers on a [`HashRing`] of hashes are always
-//!   candidates, so all entries agree on them without telling each other, and
-//!   a home wins only as long as its cache saves more than its queue costs.
+//! - a random sample of the servers, weighted by load interpretation: the older
+//!   the reports, the less they count;
+//! - the entry's own requests since a server's last report;
+//! - the prompt's prefix: its affinity targets on a [`HashRing`], the same for all
+//!   entries, are always candidates. A target is chosen as long as its prefix cache
+//!   saves more time than its queue costs.
 //!
-//! Servers are ejected by what calls see ([`Health`]), never more than a part
-//! of them. Retries come out of a budget over all requests ([`RetryBudget`]).
+//! Servers are ejected by the results of calls ([`Health`]), up to a maximum part
+//! of all servers. Retries draw on a budget over all requests ([`RetryBudget`]).
+//! `docs/design/routing.md` compares this design with others.
 
 mod budget;
 mod health;
--- a/crates/mastweir-core/src/route/policy.rs
+++ b/crates/mastweir-core/src/route/policy.rs
@@ -1,23 +1,23 @@
-//! Settings of the choice among servers.
+//! Settings of the [`Router`](super::Router) in entry instances.
 
 use std::time::Duration;
 
-/// Settings of the choice.
+/// Settings of the choice among servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Servers drawn at random as candidates.
+    /// Servers that are sampled at random as candidates.
     pub samples: usize,
-    /// Home servers of a prefix that are candidates.
+    /// Servers that a prefix has an affinity to.
     pub affinity_targets: usize,
-    /// Age at which a home's report counts half, against the mean of all.
+    /// Age at which a report counts half, against the mean of all servers.
     pub half_life: Duration,
-    /// Expected wait in the own hall beyond which other halls are looked at.
+    /// Expected wait in the own hall above which other halls are considered.
     pub spill_wait: Duration,
-    /// Delay that another hall adds.
+    /// Extra delay of a request to another hall.
     pub remote_delay: Duration,
-    /// Part of the servers that may be ejected, in percent.
+    /// Maximum part of the servers that may be ejected, in percent.
     pub eject_pct: usize,
-    /// Age past which a server that sends no reports is not chosen.
+    /// Maximum age of the last report of a server that may be chosen.
     pub max_silence: Duration,
 }
 
--- a/crates/mastweir-core/src/route/ring.rs
+++ b/crates/mastweir-core/src/route/ring.rs
@@ -1,19 +1,20 @@
-//! Homes of prefixes on a ring of hashes.
+//! Consistent hashing of prompt prefixes to servers.
 //!
-//! All entries arrive at the same homes without telling each other, and a server
-//! that comes or goes moves only the prefixes next to it.
+//! All entry instances compute the same affinity targets for a prefix from the
+//! names of the servers. A server that is added or removed changes the targets
+//! of the adjacent prefixes only.
 
-/// Points of one server: more make the parts more even.
+/// Points of each server on the ring; more points spread prefixes more evenly.
 const POINTS_PER_SERVER: u64 = 24;
 
-/// The ring.
+/// A ring of hashes, with several points for each server.
 #[derive(Clone, Debug, Default)]
 pub struct HashRing {
     points: Vec<(u64, usize)>,
 }
 
 impl HashRing {
-    /// A ring of servers, by their names in order of places.
+    /// Creates a ring of servers from their names, in order of their indices.
     pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> Self {
         let mut points = Vec::new();
         for (index, name) in names.enumerate() {
@@ -24,7 +25,8 @@
         Self { points }
     }
 
-    /// Places from a prefix on; a place may come more than once.
+    /// Returns the indices of servers along the ring, starting at the hash of a prefix. A
+    /// server is returned several times.
     pub fn walk(&self, prefix: u64) -> impl Iterator<Item = usize> {
         let at = mix(prefix);
         let first = self.points.partition_point(|(point, _)| *point < at);
--- a/crates/mastweir-core/src/route/router.rs
+++ b/crates/mastweir-core/src/route/router.rs
@@ -1,91 +1,91 @@
-//! An entry's view of the servers of one service, and the choice among them.
+//! Chooses a server for each request, among the servers of one service.
 //!
-//! An agent queues requests and reports the time that they take, so a choice is by what
-//! a request would wait, and by its prefix. A gateway's servers batch all they have
-//! ([`Fleet`]): there indices, and the pass of a whole group, are what counts.
+//! Runs in entry instances. Agents queue requests and report their work, so the
+//! choice goes by expected wait and by prefix affinity. Without affinity, the
+//! sampled servers are served in weighted order: each request moves a server's
+//! due time on by its cost over the server's rate and weight, and the server
+//! that is due first is chosen. A server with less work than the mean has a
+//! higher weight.
 //!
-//! [`Fleet`]: crate::gateway::Fleet
+//! Gateways choose by other criteria, see [`Fleet`](crate::gateway::Fleet).
 
 use super::{HashRing, Health, Policy, ServerView, Signal};
 use crate::{time::Uptime, wire::Load};
 use rand::{Rng, seq::index};
 use std::{collections::HashMap, time::Duration};
 
-/// What a request asks of a server.
+/// The properties of a request that matter for the choice.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Request<'a> {
-    /// Hash of the prompt's prefix, if it is worth keeping together.
+    /// Hash of the prompt's prefix; `None` if the request has no affinity.
     pub prefix: Option<u64>,
     /// Units that a cached prefix saves.
     pub saved_units: u32,
-    /// Units of the whole request.
+    /// Cost of the request, in units.
     pub cost: u32,
-    /// Servers that were tried already.
+    /// Names of the servers that were already tried.
     pub tried: &'a [String],
 }
 
-/// A candidate and what was expected of it, for the log line.
+/// A candidate with the figures of the decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Place among the servers.
+    /// Index of the server.
     pub index: usize,
-    /// Expected time to the first token, in seconds, less what a cached prefix
-    /// saves.
+    /// Expected time to the first token less the time that a cached prefix saves, in seconds.
     pub wait: f64,
-    /// Seconds of work there, by its last report and own requests since.
+    /// Work at the server by its last report and this entry's requests since, in seconds.
     pub work: f64,
-    /// Seconds since that report.
+    /// Age of the last report, in seconds.
     pub age: f64,
-    /// Part of an even spread that it is to get: above 1 if it has less work
-    /// than others.
+    /// Weight of the server, relative to an even distribution: above 1 with less work than
+    /// the mean.
     pub weight: f64,
-    /// Whether it is a home of the prefix.
+    /// Whether the server is an affinity target of the prefix.
     pub is_affinity: bool,
 }
 
 /// Why a server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// Due first among the candidates.
+    /// The server was due first among the sampled candidates.
     NextDue,
-    /// A home of the prefix, cheap enough.
+    /// The server is an affinity target of the prefix.
     Prefix,
-    /// The own hall was too slow.
+    /// The server is in another hall, where the expected wait is shorter.
     Spill,
-    /// All in the own hall are away.
+    /// The server is in another hall, and none in the own hall is available.
     RemoteOnly,
 }
 
-/// A decision.
+/// A chosen server and the figures of the decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Place of the chosen server.
+    /// Index of the chosen server.
     pub index: usize,
-    /// Expected time to its first token, in seconds.
+    /// Expected time to the first token, in seconds.
     pub wait: f64,
-    /// Why.
     pub reason: Reason,
-    /// All candidates.
     pub candidates: Vec<Candidate>,
 }
 
-/// The servers of one service, as one entry sees them.
+/// The servers of one service as one entry sees them.
 #[derive(Clone, Debug)]
 pub struct Router {
     servers: Vec<ServerView>,
     indices: HashMap<String, usize>,
     ring: HashRing,
     policy: Policy,
-    /// Mean reported seconds of work over the servers, for aged reports.
+    /// Smoothed mean of the reported work of all servers, in seconds.
     mean_work: f64,
-    /// How far the round of own requests has come, in seconds of work.
+    /// Highest due time at which a server got a request of this entry, in seconds of work.
     virtual_time: f64,
-    /// Time between reports that servers were asked for.
+    /// Interval at which servers send reports.
     report_interval: Duration,
 }
 
 impl Router {
-    /// A router without servers.
+    /// Creates a router without servers.
     pub fn new(policy: Policy) -> Self {
         Self {
             servers: Vec::new(),
@@ -98,12 +98,11 @@
         }
     }
 
-    /// The servers.
     pub fn servers(&self) -> &[ServerView] {
         &self.servers
     }
 
-    /// Replaces the servers.
+    /// Replaces the list of servers.
     pub fn set_servers(&mut self, servers: Vec<ServerView>) {
         let named = servers.iter().enumerate().map(|(index, server)| (server.name.clone(), index));
         self.indices = named.collect();
@@ -111,19 +110,18 @@
         self.servers = servers;
     }
 
-    /// Reports come this often from now on: in a large fleet they are rare, and
-    /// silence means less.
+    /// Sets the interval of reports, which is longer in a large fleet. A server may be silent
+    /// for several intervals before it is excluded.
     pub fn set_report_interval(&mut self, interval: Duration) {
         self.report_interval = interval;
     }
 
-    /// Place of a server.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// Takes a report in. One that is older than the last is dropped; one of
-    /// another incarnation replaces all that was known.
+    /// Processes a report. A report older than the last one is ignored. A report of another
+    /// incarnation resets the server's health.
     pub fn on_report(&mut self, index: usize, load: &Load, now: Uptime) {
         let Some(server) = self.servers.get_mut(index) else { return };
         if let Some((last, _)) = &server.report {
@@ -141,8 +139,8 @@
         self.mean_work += (work - self.mean_work) / (self.servers.len().max(4) as f64);
     }
 
-    /// A request was sent to a server: it is due again later, the later the
-    /// slower it is and the less it is to get.
+    /// Records a request sent to a server, and moves the server's due time on by the cost of
+    /// the request over the server's rate and weight.
     pub fn on_sent(&mut self, index: usize, cost: u32, now: Uptime) {
         let weight = self.weight(index, now).max(WEIGHT_MIN);
         let Some(server) = self.servers.get_mut(index) else { return };
@@ -150,12 +148,13 @@
         server.in_flight += 1;
         let rate = server.report.as_ref().map_or(1, |(load, _)| load.rate.max(1));
         let step = f64::from(cost) / f64::from(rate) / weight;
-        // Who was away has no claim to what was sent meanwhile.
+        // A server that was unavailable does not catch up on the requests it missed.
         self.virtual_time = self.virtual_time.max(server.due_at);
         server.due_at = server.due_at.max(self.virtual_time - LAG_MAX_S) + step;
     }
 
-    /// A request at a server has ended. True if that ejects the server.
+    /// Records the end of a request. `signal` is `None` if the end says nothing about the
+    /// server's health. Returns true if the server is ejected for it.
     pub fn on_ended(&mut self, index: usize, signal: Option<Signal>, now: Uptime) -> bool {
         let good = matches!(signal, None | Some(Signal::Success));
         let may_eject = good || self.may_eject(now);
@@ -163,13 +162,14 @@
         server.in_flight = server.in_flight.saturating_sub(1);
         match signal {
             Some(Signal::Success) => server.health.record(Signal::Success, now),
-            // When many look bad at once, it is this entry that sees badly.
+            // With many servers ejected at once, the fault is likely at this entry.
             Some(signal) if may_eject => server.health.record(signal, now),
             _ => false,
         }
     }
 
-    /// Chooses a server. `None` if none may take the request.
+    /// Chooses a server, or returns `None` if none is available. Other halls are considered
+    /// if the expected wait in the own hall is long.
     pub fn choose(&self, request: &Request<'_>, now: Uptime, rng: &mut impl Rng) -> Option<Choice> {
         let best = self.choose_in(request, true, now, rng);
         let slow =
@@ -188,19 +188,19 @@
         }
     }
 
-    /// Last reports of the servers that may be chosen.
+    /// Returns the last reports of the available servers.
     pub fn loads(&self, now: Uptime) -> impl Iterator<Item = &Load> {
         let max_age = self.max_silence();
         let available = self.servers.iter().filter(move |server| server.is_available(now, max_age));
         available.filter_map(|server| server.report.as_ref().map(|(load, _)| load))
     }
 
-    /// Expected seconds until a server would begin with another request.
+    /// Returns the expected wait of another request at a server, in seconds.
     pub fn expected_wait(&self, index: usize, now: Uptime) -> f64 {
         self.evaluate(index, &Request::default(), false, now).wait
     }
 
-    /// Chooses among the servers of the own hall, or among the others.
+    /// Chooses among the servers of the own hall, or among those of the other halls.
     fn choose_in(
         &self,
         request: &Request<'_>,
@@ -232,7 +232,7 @@
         })
     }
 
-    /// What is expected of a server.
+    /// Computes the figures of a candidate.
     fn evaluate(
         &self,
         index: usize,
@@ -251,10 +251,10 @@
         let work = reported_work(load) + own;
         let trust = 0.5_f64.powf(age / self.policy.half_life.as_secs_f64());
         let likely = trust * work + (1.0 - trust) * self.mean_work.max(work.min(self.mean_work));
-        // Work beyond what fills the slots waits.
+        // Work in excess of the slots waits.
         let full = FULL_RATIO * self.saturation_work(index);
         let queued = (likely - full).max(0.0);
-        // The prompt runs in one slot, at its part of the rate.
+        // The prompt runs in one slot, at that slot's part of the rate.
         let slot = f64::from(load.slots.max(1)) / rate;
         let saved = if is_affinity { f64::from(request.saved_units) * slot } else { 0.0 };
         let step = f64::from(load.step_us) / 1e6;
@@ -263,11 +263,12 @@
         Candidate { index, wait: queued + step + away - saved, work, age, weight, is_affinity }
     }
 
-    /// Part of an even spread that a server is to get.
+    /// Returns the weight of a server relative to an even distribution, from 0 to
+    /// [`WEIGHT_MAX`].
     ///
-    /// To even out over the time from its report until the next, a server with
-    /// less work than the mean has to get the difference more than others. The
-    /// older the report, the longer that time, and the less it leans.
+    /// The difference of the server's work to the mean is to be balanced by the requests that
+    /// arrive within the age of its report plus [`BALANCE_TIME_S`]. An older report thus
+    /// gives a weight closer to 1.
     fn weight(&self, index: usize, now: Uptime) -> f64 {
         let Some((load, at)) = &self.servers[index].report else { return 0.0 };
         let age = now.since(*at).as_secs_f64();
@@ -275,9 +276,11 @@
         (1.0 + (self.mean_work - reported_work(load)) / arriving).clamp(0.0, WEIGHT_MAX)
     }
 
-    /// Whether a home may take a request out of turn: it has not had too many of
-    /// this entry's, and the more seldom the more work it has. All entries send
-    /// a popular prefix to the same homes, so an old report must not let all in.
+    /// Decides whether an affinity target may get a request out of turn.
+    ///
+    /// All entries send a popular prefix to the same targets. The probability therefore falls
+    /// with the target's work, and a target that is ahead of its due time, or may be saturated
+    /// since its last report, is rejected.
     fn accepts_affinity(&self, target: &Candidate, rng: &mut impl Rng) -> bool {
         let ahead = self.servers[target.index].due_at - self.virtual_time;
         let part =
@@ -287,13 +290,14 @@
         roomy && ahead <= AFFINITY_AHEAD_MAX_S && rng.random_range(0.0..1.0) < part
     }
 
-    /// Seconds of work that fill a server's slots.
+    /// Returns the work that fills all slots of a server, in seconds.
     fn saturation_work(&self, index: usize) -> f64 {
         let load = self.servers[index].report.as_ref().map(|(load, _)| load);
         load.map_or(0.0, |load| work_per_request(load) * f64::from(load.slots.max(1)))
     }
 
-    /// The candidate that is due first, of those that are to get any.
+    /// Returns the candidate that is due first, of those with a sufficient weight; if there is
+    /// none, the one with the highest weight.
     fn due_first<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
         let due = |candidate: &Candidate| self.servers[candidate.index].due_at;
         let getting = candidates.iter().filter(|candidate| candidate.weight >= WEIGHT_MIN);
@@ -301,7 +305,7 @@
         first.or_else(|| candidates.iter().max_by(|a, b| a.weight.total_cmp(&b.weight)))
     }
 
-    /// Places of the prefix's home servers.
+    /// Returns the indices of the prefix's available affinity targets.
     fn affinity_targets(
         &self,
         request: &Request<'_>,
@@ -321,21 +325,20 @@
         targets
     }
 
-    /// Open servers: all in a small fleet, else a few at random.
+    /// Returns available servers: all of a small fleet, otherwise a random sample.
     fn sample(&self, available: impl Fn(usize) -> bool, rng: &mut impl Rng) -> Vec<usize> {
         let total = self.servers.len();
         let fits = |index: &usize| available(*index);
         if total == 0 {
             return Vec::new();
         }
-        // From a place of its own: entries that began in the same order would
-        // go round in step, and all reach the same server at once.
+        // A random start keeps entries from choosing servers in the same order.
         let offset = rng.random_range(0..total);
         let scan = (0..total).map(|i| (i + offset) % total).filter(fits);
         if total <= SCAN_MAX {
             return scan.collect();
         }
-        // A few blind draws do in a large fleet; a scan finds the rest.
+        // If none of the sampled servers is available, a scan finds the available ones.
         let blind = index::sample(rng, total, self.policy.samples * 3);
         let drawn: Vec<usize> = blind.into_iter().filter(fits).take(self.policy.samples).collect();
         if drawn.is_empty() { scan.take(self.policy.samples).collect() } else { drawn }
@@ -355,7 +358,7 @@
             && !request.tried.contains(&server.name)
     }
 
-    /// Silence after which a server is not chosen.
+    /// Returns the maximum age of a report at which a server is available.
     fn max_silence(&self) -> Duration {
         self.policy.max_silence.max(self.report_interval * MISSED_REPORTS_MAX)
     }
@@ -366,39 +369,39 @@
     }
 }
 
-/// Reports that may be missing before a server counts as silent.
+/// Maximum age of a report, in report intervals.
 const MISSED_REPORTS_MAX: u32 = 3;
-/// Servers up to which all are candidates.
+/// Fleet size up to which all servers are candidates.
 const SCAN_MAX: usize = 128;
-/// Places of the ring that are looked at for open homes.
+/// Points of the ring that are searched for available affinity targets.
 const RING_POINTS_MAX: usize = 24;
-/// Part of the slots' work beyond which a request is taken to wait.
+/// Part of the slots' work above which a request is expected to wait.
 const FULL_RATIO: f64 = 0.9;
-/// Work that arrives at a server in a second, in seconds.
+/// Expected work that arrives at a server, in seconds of work a second.
 const ARRIVAL_RATE: f64 = 0.9;
-/// Seconds over which a difference is evened out, beyond a report's age.
+/// Time after a report over which a difference in work is balanced, in seconds.
 const BALANCE_TIME_S: f64 = 6.0;
 const WEIGHT_MAX: f64 = 2.0;
 const WEIGHT_MIN: f64 = 0.1;
-/// Lean at which no request, and every one, may go to a home out of turn.
+/// Weights at which no request, and every request, may go to an affinity target out of turn.
 const AFFINITY_WEIGHT_MIN: f64 = 1.0;
 const AFFINITY_WEIGHT_FULL: f64 = 1.05;
-/// Part of a home's slots that may be taken, and seconds of work that may have
-/// come for each second of its report's age.
+/// Part of an affinity target's slots that may be in use.
 const AFFINITY_FULL_RATIO: f64 = 0.85;
+/// Work that may have arrived at an affinity target since its report, in seconds a second.
 const AFFINITY_ARRIVAL_RATE: f64 = 0.3;
-/// Seconds of work that a home may be ahead in the round.
+/// Maximum work by which an affinity target may be ahead of virtual time, in seconds.
 const AFFINITY_AHEAD_MAX_S: f64 = 0.08;
-/// Seconds of work that a server may be behind in the round.
+/// Maximum work by which a server's due time lags behind virtual time, in seconds.
 const LAG_MAX_S: f64 = 1.0;
 
-/// Seconds of work at a server, running requests at half their cost.
+/// Returns the reported work of a server, queued and running, in seconds.
 fn reported_work(load: &Load) -> f64 {
     let queued = f64::from(load.backlog) / f64::from(load.rate.max(1));
     queued + f64::from(load.running) * work_per_request(load)
 }
 
-/// Seconds of a server's work in one running request.
+/// Returns the remaining work of an average running request, in seconds.
 fn work_per_request(load: &Load) -> f64 {
     f64::from(load.mean_remaining) / f64::from(load.rate.max(1))
 }
--- a/crates/mastweir-core/src/route/server_view.rs
+++ b/crates/mastweir-core/src/route/server_view.rs
@@ -1,32 +1,31 @@
-//! What an entry knows of one server.
+//! State of one server as an entry instance sees it.
 
 use super::Health;
 use crate::{id::Incarnation, time::Uptime, wire::Load};
 use std::time::Duration;
 
-/// What is known of a server.
+/// State of a server: its last report, this entry's own requests, and health.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     /// Name in the instance list.
     pub name: String,
-    /// Whether it is in the own hall.
+    /// Whether the server is in this entry's hall.
     pub own_hall: bool,
-    /// Its last report, and when that came.
+    /// Last report and the time of its arrival.
     pub report: Option<(Load, Uptime)>,
-    /// Units of own requests sent since the last report.
+    /// Cost of this entry's requests sent since the last report, in units.
     pub sent_units: u64,
-    /// When it is due for an own request, in seconds of a server's work.
+    /// Virtual time at which the server is due for a request of this entry, in seconds of work.
     pub due_at: f64,
-    /// Own requests that have not ended.
+    /// This entry's requests that have not ended.
     pub in_flight: u32,
-    /// Health by own calls.
     pub health: Health,
-    /// Whether the platform or an operator says that it leaves.
+    /// Whether the instance list or an operator marks the server as leaving.
     pub leaving: bool,
 }
 
 impl ServerView {
-    /// A server of which nothing is known but the name.
+    /// Creates the state of a server that has not reported.
     pub const fn new(name: String, own_hall: bool) -> Self {
         Self {
             name,
@@ -40,12 +39,12 @@
         }
     }
 
-    /// The agent's incarnation, once it has reported.
+    /// Returns the incarnation of the agent, or `None` before its first report.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.report.as_ref().map(|(load, _)| load.incarnation)
     }
 
-    /// Whether it may be chosen, by what it said within `max_age`.
+    /// Whether the server may be chosen, with a report no older than `max_age`.
     pub(super) fn is_available(&self, now: Uptime, max_age: Duration) -> bool {
         let Some((load, at)) = &self.report else { return false };
         let silent = now.since(*at) > max_age;
--- a/crates/mastweir-core/src/share/limit.rs
+++ b/crates/mastweir-core/src/share/limit.rs
@@ -1,14 +1,15 @@
-//! Limits of a customer over several entry instances.
+//! Limits of a customer, split over entry instances.
 //!
-//! A limit is split over the entries. Each entry gets its part by what it was
-//! seen to use, and a small floor so that load may arrive anywhere. While the
-//! parts move, the sum may exceed the limit by at most the floors, that is by
-//! [`LimitShare::FLOOR_MILLI`] of it, for one exchange period. An entry that hears of
-//! no one goes on with its last part.
+//! Each entry enforces its part of a customer's limit. The part follows the
+//! entry's part of the customer's usage, plus a small floor so that load may
+//! arrive at any entry. While the parts change, their sum may exceed the limit by
+//! the floors, that is by [`LimitShare::FLOOR_MILLI`] thousandths, for one exchange
+//! period. Rates are enforced by a token bucket.
 
 use crate::time::Uptime;
 
-/// A token bucket that may run into debt, since costs are known afterwards.
+/// A token bucket that may go into debt, since the actual cost of a request is known only
+/// after it has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -18,12 +19,12 @@
 }
 
 impl TokenBucket {
-    /// A full bucket with `rate` units a second and `burst` units of room.
+    /// Creates a full bucket with `rate` units a second and a capacity of `burst` units.
     pub const fn new(rate: f64, burst: f64, at: Uptime) -> Self {
         Self { rate, burst, level: burst, at }
     }
 
-    /// Changes rate and room; what is in it stays, up to the new room.
+    /// Changes the rate and the capacity. The content stays, up to the new capacity.
     pub fn set_rate(&mut self, rate: f64, burst: f64, now: Uptime) {
         self.refill(now);
         self.rate = rate;
@@ -31,12 +32,11 @@
         self.level = self.level.min(burst);
     }
 
-    /// Takes `units` if the bucket is not in debt. Otherwise the seconds until
-    /// it will be out of debt.
+    /// Takes `units` if the bucket is not empty; it may go into debt.
     ///
     /// # Errors
     ///
-    /// The seconds to wait.
+    /// Returns the seconds until the bucket is out of debt.
     pub fn take(&mut self, units: f64, now: Uptime) -> Result<(), f64> {
         self.refill(now);
         if self.level > 0.0 {
@@ -46,7 +46,7 @@
         Err((-self.level / self.rate.max(1e-6)).max(0.01))
     }
 
-    /// Gives back what an estimate had too much, or takes what it lacked.
+    /// Corrects an earlier charge of `estimate` units to the actual cost.
     pub fn settle(&mut self, estimate: f64, actual: f64) {
         self.level = (self.level + estimate - actual).min(self.burst);
     }
@@ -58,18 +58,18 @@
     }
 }
 
-/// One entry's part of a customer's limit, in thousandths.
+/// One entry's part of a customer's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitShare {
-    /// The part.
+    /// The part, in thousandths.
     pub milli: u32,
 }
 
 impl LimitShare {
-    /// Sum of all entries' floors, as a part of the limit, in thousandths.
+    /// Sum of all entries' floors, in thousandths of the limit.
     pub const FLOOR_MILLI: u32 = 100;
 
-    /// The part of an entry that used `own` of `total`, over `entries` entries.
+    /// Returns the part of an entry that used `own` of `total` units, of `entries` entries.
     pub fn from_usage(own: u64, total: u64, entries: u32) -> Self {
         let entries = entries.max(1);
         let floor = Self::FLOOR_MILLI / entries;
@@ -81,7 +81,7 @@
         Self { milli: floor.max(1) + part }
     }
 
-    /// That part of `limit`, rounded up so that no customer is shut out.
+    /// Returns this part of `limit`, rounded up so that no customer's part is zero.
     pub fn apply(self, limit: u64) -> u64 {
         (limit * u64::from(self.milli)).div_ceil(1_000)
     }
--- a/crates/mastweir-core/src/share/mod.rs
+++ b/crates/mastweir-core/src/share/mod.rs
@@ -1,16 +1,17 @@
-//! Shares: who is served next, and how much of the fleet a customer gets.
+//! Weighted shares of the fleet among customers.
 //!
-//! A share is of service received, in units ([`Cost`]), not of requests. The
-//! way chosen (`docs/design/shares.md` weighs the others):
+//! A share counts service received, in units ([`Cost`]), not requests:
 //!
-//! - every agent keeps a [`FairQueue`] in front of its server, so that it does
-//!   not matter through which entry instance a customer's load arrives, and
-//!   idle capacity is lent at once;
-//! - a local queue is fair among those present at that server only, so entries
-//!   add up what customers ask for fleet-wide ([`Usage`], along a [`UsageTree`] of
-//!   entries) and refuse early what is over a customer's share ([`AdmissionControl`]);
-//! - limits in flight and by rate are split over the entries that a customer
-//!   uses ([`LimitShare`]).
+//! - every agent keeps a [`FairQueue`] in front of its server, so the entry
+//!   instance through which a request arrives does not matter, and idle capacity
+//!   is usable at once;
+//! - a queue is fair only among the customers at its server, so entries add up the
+//!   load that customers offer fleet-wide ([`Usage`], along a [`UsageTree`] of
+//!   entries) and reject what exceeds a customer's share ([`AdmissionControl`]);
+//! - limits on requests in flight and on rates are split over the entries that a
+//!   customer uses ([`LimitShare`]).
+//!
+//! `docs/design/shares.md` compares this design with others.
 
 mod admission;
 mod estimate;
@@ -27,14 +28,14 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, mem};
 
-/// Cost of a request in service units of about one decoded token.
+/// Prices of a request, in service units of about one generated model token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cost {
-    /// Units a prompt token costs, in thousandths.
+    /// Cost of a prompt token, in thousandths of a unit.
     pub prefill_milli: u32,
-    /// Units a generated token costs, in thousandths.
+    /// Cost of a generated token, in thousandths of a unit.
     pub decode_milli: u32,
-    /// Units that any request costs.
+    /// Cost of a request without its tokens, in units.
     pub fixed: u32,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl Cost {
-    /// Units of a request with so many tokens.
+    /// Returns the cost of a request in units, by its prompt tokens and generated tokens.
     pub const fn units(self, prompt: u64, generated: u64) -> u32 {
         let milli = prompt * self.prefill_milli as u64 + generated * self.decode_milli as u64;
         let units = milli.div_ceil(1_000) + self.fixed as u64;
@@ -53,14 +54,13 @@
     }
 }
 
-/// Stands for a customer's name in packets.
+/// Hash of a customer's name, which stands for it in packets.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct CustomerTag(pub u32);
 
 impl CustomerTag {
-    /// The tag of a name.
     pub fn of(name: &str) -> Self {
         let hash = blake3::hash(name.as_bytes());
         let [a, b, c, d, ..] = *hash.as_bytes();
@@ -68,39 +68,37 @@
     }
 }
 
-/// What one customer asked for since its last row.
+/// Load that one customer offered since its previous row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
-    /// The customer.
     pub customer: CustomerTag,
-    /// Service units that its requests would cost.
+    /// Estimated cost of the customer's requests, in units.
     pub units: u32,
 }
 
-/// What customers asked for, added up over some entries.
+/// Load that customers offered, added up over some entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Whether it goes down the tree: the sum over the whole fleet.
+    /// Whether this is the sum over the whole fleet, which goes down the tree.
     pub total: bool,
-    /// Time until the next exchange, as the hall's leader decides.
+    /// Time until the next exchange, chosen by the hall's leader.
     pub period_ms: u32,
-    /// Service units that all customers asked for in the period.
+    /// Units that all customers offered in the period.
     pub offered: u64,
-    /// Service units that were delivered to them.
+    /// Units that all customers received in the period.
     pub delivered: u64,
-    /// The rows, at most [`Usage::ROWS_MAX`].
+    /// At most [`Usage::ROWS_MAX`] rows.
     pub rows: Vec<UsageRow>,
 }
 
 impl Usage {
-    /// Rows of one packet at most.
+    /// Maximum rows of a packet.
     pub const ROWS_MAX: usize = 110;
 }
 
-/// What was not sent yet: units asked for by customer, and units delivered.
+/// Usage that was not sent yet.
 ///
-/// A packet has room for some rows. Those that do not fit wait for the next
-/// one, so that late rows are late and not lost.
+/// Rows that do not fit into a packet stay for the next one.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUsage {
     rows: BTreeMap<CustomerTag, u64>,
@@ -109,18 +107,17 @@
 }
 
 impl PendingUsage {
-    /// Adds units that a customer asked for.
+    /// Adds units that a customer offered.
     pub fn add_offered(&mut self, customer: CustomerTag, units: u64) {
         *self.rows.entry(customer).or_default() += units;
         self.offered += units;
     }
 
-    /// Adds units that were delivered.
     pub fn add_delivered(&mut self, units: u64) {
         self.delivered += units;
     }
 
-    /// Adds what is in a packet.
+    /// Adds the sums of a packet.
     pub fn merge(&mut self, usage: &Usage) {
         for row in &usage.rows {
             *self.rows.entry(row.customer).or_default() += u64::from(row.units);
@@ -129,8 +126,8 @@
         self.delivered += usage.delivered;
     }
 
-    /// Takes the next packet: the rows with the most units per weight, which are
-    /// those that waited longest or ask for the most.
+    /// Takes the next packet, with the rows that have the most units per weight: those
+    /// that are pending longest or offer most.
     pub fn next_packet(&mut self, total: bool, weight: impl Fn(CustomerTag) -> f64) -> Usage {
         let per_weight = |(customer, units): (&CustomerTag, &u64)| {
             (*units as f64 / weight(*customer).max(f64::MIN_POSITIVE), *customer)
--- a/crates/mastweir-core/src/share/queue.rs
+++ b/crates/mastweir-core/src/share/queue.rs
@@ -1,19 +1,19 @@
-//! A weighted fair queue over customers: self-clocked fair queueing.
+//! A weighted fair queue over customers, by self-clocked fair queueing.
 //!
-//! Each customer has a start tag, the virtual time up to which it has been
-//! served. Its next request is due at that tag plus cost over weight, the least
-//! due tag is served next, and virtual time is the due tag of whoever was served
-//! last. Who comes back from idling starts at the current virtual time: no
-//! credit is saved up, and no debt of a busy time is forgiven within it. When
-//! the true cost is known the tag is corrected ([`FairQueue::settle`]).
+//! An agent keeps the requests that wait for its server in this queue. Each
+//! customer has a start tag, the virtual time up to which it has been served. The
+//! customer's next request has a due tag: the start tag plus cost over weight.
+//! The request with the lowest due tag is served next, and virtual time advances
+//! to that tag. A customer that was idle restarts at the current virtual time at
+//! the earliest, so it saves up no credit, but keeps its debt. When the actual cost
+//! of a request is known, the start tag is corrected ([`FairQueue::settle`]).
 //!
-//! Ordering by due tags rather than by start tags matters in a large fleet: a
-//! customer that is at many servers with one request at each would, by start
-//! tags, be next everywhere, whatever its weight (`docs/design/shares.md` has
-//! the measurement).
+//! The order goes by due tags, not start tags: by start tags, a customer with one
+//! request at each of many servers would be next at all of them, whatever its
+//! weight.
 //!
-//! The class of a request orders the requests of its own customer only. A
-//! class above others' requests would let a customer take more than its share.
+//! The class of a request orders the requests of the same customer only;
+//! otherwise a customer could exceed its share by a better class.
 
 use crate::time::Uptime;
 use std::{
@@ -21,67 +21,64 @@
     hash::Hash,
 };
 
-/// Virtual time, in units over weight, scaled to whole numbers.
+/// Virtual time in units over weight, times [`VIRTUAL_SCALE`].
 type VirtualTime = u128;
-/// A weight of 1 stands as this in [`QueuedRequest::weight`].
+/// Value of [`QueuedRequest::weight`] that stands for a weight of 1.
 const WEIGHT_ONE: u128 = 1_000;
 const VIRTUAL_SCALE: u128 = 1_000;
-/// Seconds of work that wait at a server at most.
+/// Maximum work that waits at a server, in seconds.
 pub const WAIT_MAX_S: f64 = 4.0;
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest<C, T> {
-    /// Whose it is.
     pub customer: C,
     /// Effective weight, in thousandths; at least 1.
     pub weight: u32,
-    /// Class among the customer's own requests; 0 first.
+    /// Class among the customer's own requests; class 0 is served first.
     pub class: u8,
     /// Estimated cost, in units.
     pub cost: u32,
-    /// When it is void.
+    /// Time at which the request expires.
     pub deadline: Uptime,
-    /// The request.
     pub item: T,
 }
 
-/// What became of an offered request.
+/// Result of adding a request to the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EnqueueResult<T> {
-    /// It waits.
     Queued,
-    /// It waits, and this one was put out for it.
+    /// The request was added, and the given one was evicted for it.
     Evicted(T),
-    /// The queue is full, and no one in it is further over its share.
+    /// The request was rejected: the queue is full, and no other customer is further
+    /// over its share.
     Full(T),
 }
 
 #[derive(Clone, Debug)]
 struct Flow<C, T> {
-    /// Virtual time up to which it was served.
+    /// Virtual time up to which the customer was served.
     start: VirtualTime,
-    /// Due tag of its next request, as it stands in the order.
+    /// Due tag of the next request, as used in `order`.
     due: VirtualTime,
-    /// Units that wait.
+    /// Estimated cost of the queued requests, in units.
     units: u64,
-    /// The newest effective weight: it holds for what waits already, too, or a
-    /// correction would take effect only after a full queue's time.
+    /// Newest effective weight; applies to requests that are already queued as well.
     weight: u32,
-    /// By class, then by arrival.
+    /// Sorted by class, then by arrival.
     waiting: VecDeque<QueuedRequest<C, T>>,
 }
 
-/// Requests that wait for one server.
+/// Requests that wait for one server, ordered fairly among customers.
 ///
 /// ```
 /// use mastweir_core::{
-///     share::{QueuedRequest, FairQueue},
+///     share::{FairQueue, QueuedRequest},
 ///     time::Uptime,
 /// };
 ///
 /// let mut queue = FairQueue::new(100);
-/// let entry = |customer, weight| QueuedRequest {
+/// let request = |customer, weight| QueuedRequest {
 ///     customer,
 ///     weight,
 ///     class: 0,
@@ -90,11 +87,11 @@
 ///     item: customer,
 /// };
 /// for _ in 0..30 {
-///     queue.enqueue(entry("large", 3_000));
-///     queue.enqueue(entry("small", 1_000));
+///     queue.enqueue(request("large", 3_000));
+///     queue.enqueue(request("small", 1_000));
 /// }
 /// let served: Vec<_> = (0..20).filter_map(|_| queue.pop()).collect();
-/// let large = served.iter().filter(|entry| entry.customer == "large").count();
+/// let large = served.iter().filter(|request| request.customer == "large").count();
 /// assert_eq!(large, 15);
 /// ```
 #[derive(Clone, Debug)]
@@ -109,80 +106,78 @@
 }
 
 impl<C: Copy + Eq + Ord + Hash, T> FairQueue<C, T> {
-    /// An empty queue of at most `limit` requests.
-    pub fn new(limit: usize) -> Self {
+    /// Creates an empty queue of at most `len_limit` requests.
+    pub fn new(len_limit: usize) -> Self {
         Self {
             flows: HashMap::new(),
             order: BTreeSet::new(),
             now: 0,
             len: 0,
             backlog: 0,
-            len_limit: limit,
+            len_limit,
             backlog_limit: u64::MAX,
         }
     }
 
-    /// Bounds the units that wait: a queue longer than what its requests can
-    /// wait for is waste.
+    /// Bounds the backlog, in units.
     pub fn set_backlog_limit(&mut self, units: u64) {
         self.backlog_limit = units;
     }
 
-    /// Requests that wait.
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Units that wait.
+    /// Estimated cost of all queued requests, in units.
     pub const fn backlog(&self) -> u64 {
         self.backlog
     }
 
-    /// Requests of a customer that wait.
+    /// Returns the number of queued requests of a customer.
     pub fn len_of(&self, customer: C) -> usize {
         self.flows.get(&customer).map_or(0, |flow| flow.waiting.len())
     }
 
-    /// Adds a request. A full queue puts out the lowest class of whoever is
-    /// furthest over its share, the newcomer itself if that is its customer.
-    pub fn enqueue(&mut self, entry: QueuedRequest<C, T>) -> EnqueueResult<T> {
+    /// Adds a request. A full queue evicts the last request of the customer that is
+    /// furthest over its share. If that is the customer of the new request, the new
+    /// request is rejected unless its class is better.
+    pub fn enqueue(&mut self, request: QueuedRequest<C, T>) -> EnqueueResult<T> {
         if self.len < self.len_limit && self.backlog < self.backlog_limit {
-            self.push(entry);
+            self.push(request);
             return EnqueueResult::Queued;
         }
-        let Some(victim) = self.most_over_served(&entry) else {
-            return EnqueueResult::Full(entry.item);
+        let Some(victim) = self.victim(&request) else {
+            return EnqueueResult::Full(request.item);
         };
         match self.evict(victim) {
             Some(evicted) => {
-                self.push(entry);
+                self.push(request);
                 EnqueueResult::Evicted(evicted.item)
             }
-            None => EnqueueResult::Full(entry.item),
+            None => EnqueueResult::Full(request.item),
         }
     }
 
-    /// Takes the request that is owed service most.
+    /// Removes and returns the request with the lowest due tag.
     pub fn pop(&mut self) -> Option<QueuedRequest<C, T>> {
         let (due, customer) = self.order.pop_first()?;
         let flow = self.flows.get_mut(&customer)?;
-        let entry = flow.waiting.pop_front()?;
+        let request = flow.waiting.pop_front()?;
         self.now = self.now.max(due);
-        flow.start += normalized(u64::from(entry.cost), flow.weight);
-        flow.units -= u64::from(entry.cost);
+        flow.start += normalized(u64::from(request.cost), flow.weight);
+        flow.units -= u64::from(request.cost);
         self.len -= 1;
-        self.backlog -= u64::from(entry.cost);
+        self.backlog -= u64::from(request.cost);
         self.reorder(customer);
         self.remove_idle_flows();
-        Some(entry)
+        Some(request)
     }
 
-    /// Corrects a served request's charge once its true cost is known.
+    /// Corrects the charge of a served request from the estimated to the actual cost.
     pub fn settle(&mut self, customer: C, weight: u32, estimate: u32, actual: u32) {
         let Some(flow) = self.flows.get_mut(&customer) else {
             return self.settle_absent(customer, weight, estimate, actual);
@@ -192,12 +187,12 @@
         self.reorder(customer);
     }
 
-    /// Takes out all requests that are void at `at`.
+    /// Removes and returns all requests that have expired at `at`.
     pub fn expire(&mut self, at: Uptime) -> Vec<QueuedRequest<C, T>> {
-        self.remove_if(|entry| entry.deadline <= at)
+        self.remove_if(|request| request.deadline <= at)
     }
 
-    /// Takes out all requests for which `gone` holds.
+    /// Removes and returns all requests for which `predicate` holds.
     pub fn remove_if(
         &mut self,
         predicate: impl Fn(&QueuedRequest<C, T>) -> bool,
@@ -210,11 +205,11 @@
                     i += 1;
                     continue;
                 }
-                let Some(entry) = flow.waiting.remove(i) else { break };
-                flow.units -= u64::from(entry.cost);
+                let Some(request) = flow.waiting.remove(i) else { break };
+                flow.units -= u64::from(request.cost);
                 self.len -= 1;
-                self.backlog -= u64::from(entry.cost);
-                taken.push(entry);
+                self.backlog -= u64::from(request.cost);
+                taken.push(request);
             }
         }
         let customers: Vec<C> = self.flows.keys().copied().collect();
@@ -222,8 +217,8 @@
         taken
     }
 
-    fn push(&mut self, entry: QueuedRequest<C, T>) {
-        let customer = entry.customer;
+    fn push(&mut self, request: QueuedRequest<C, T>) {
+        let customer = request.customer;
         let now = self.now;
         let flow = self.flows.entry(customer).or_insert_with(|| Flow {
             start: now,
@@ -235,16 +230,16 @@
         if flow.waiting.is_empty() {
             flow.start = flow.start.max(now);
         }
-        flow.units += u64::from(entry.cost);
-        flow.weight = entry.weight;
+        flow.units += u64::from(request.cost);
+        flow.weight = request.weight;
         self.len += 1;
-        self.backlog += u64::from(entry.cost);
-        let place = flow.waiting.partition_point(|other| other.class <= entry.class);
-        flow.waiting.insert(place, entry);
+        self.backlog += u64::from(request.cost);
+        let position = flow.waiting.partition_point(|other| other.class <= request.class);
+        flow.waiting.insert(position, request);
         self.reorder(customer);
     }
 
-    /// Puts a customer where its next request belongs in the order.
+    /// Updates the position of a customer in the order.
     fn reorder(&mut self, customer: C) {
         let Some(flow) = self.flows.get_mut(&customer) else { return };
         self.order.remove(&(flow.due, customer));
@@ -253,12 +248,14 @@
         self.order.insert((flow.due, customer));
     }
 
-    /// Whose last request would begin last, if that is not the newcomer's. When
-    /// it begins counts, not when it ends: a single long request is not over
-    /// its customer's share.
-    fn most_over_served(&self, newcomer: &QueuedRequest<C, T>) -> Option<C> {
+    /// Returns the customer whose request is evicted for `newcomer`: the one whose last
+    /// request would start last. `None` if the newcomer is to be rejected.
+    ///
+    /// The start counts, not the end: a single long request does not put its customer
+    /// over its share.
+    fn victim(&self, newcomer: &QueuedRequest<C, T>) -> Option<C> {
         let last = |flow: &Flow<C, T>| {
-            let own = flow.waiting.back().map_or(0, |entry| u64::from(entry.cost));
+            let own = flow.waiting.back().map_or(0, |request| u64::from(request.cost));
             flow.start.max(self.now) + normalized(flow.units - own, flow.weight)
         };
         let waiting = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
@@ -267,7 +264,7 @@
             |flow: &Flow<C, T>| flow.start.max(self.now) + normalized(flow.units, flow.weight);
         let own = self.flows.get(&newcomer.customer).map_or(self.now, after);
         if victim == newcomer.customer {
-            // Within one customer a better class puts out a worse one.
+            // Within a customer, a request of a better class replaces one of a worse class.
             let flow = self.flows.get(&victim)?;
             let lowest = flow.waiting.back()?.class;
             return (newcomer.class < lowest).then_some(victim);
@@ -277,12 +274,12 @@
 
     fn evict(&mut self, victim: C) -> Option<QueuedRequest<C, T>> {
         let flow = self.flows.get_mut(&victim)?;
-        let entry = flow.waiting.pop_back()?;
-        flow.units -= u64::from(entry.cost);
+        let request = flow.waiting.pop_back()?;
+        flow.units -= u64::from(request.cost);
         self.len -= 1;
-        self.backlog -= u64::from(entry.cost);
+        self.backlog -= u64::from(request.cost);
         self.reorder(victim);
-        Some(entry)
+        Some(request)
     }
 
     fn settle_absent(&mut self, customer: C, weight: u32, estimate: u32, actual: u32) {
@@ -294,7 +291,8 @@
         self.flows.insert(customer, flow);
     }
 
-    /// Flows without requests whose tag lies behind are as good as new.
+    /// Drops flows that are equivalent to new ones: without requests, and with a start tag
+    /// in the past.
     fn remove_idle_flows(&mut self) {
         if self.flows.len() <= 2 * self.order.len() + 16 {
             return;
@@ -304,6 +302,7 @@
     }
 }
 
+/// Returns cost over weight as virtual time.
 fn normalized(cost: u64, weight: u32) -> VirtualTime {
     u128::from(cost) * VIRTUAL_SCALE * WEIGHT_ONE / u128::from(weight.max(1))
 }
