--- a/crates/mastweir-core/src/member/members.rs
+++ b/crates/mastweir-core/src/member/members.rs
@@ -1,4 +1,4 @@
-//! All members that an instance has heard of.
+//! The members known to an instance, with their states.
 
 use super::{Member, MemberState};
 use crate::{id::Incarnation, time::Uptime};
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, time::Duration};
 
-/// How long silence means what.
+/// Timeouts of members.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Silence that makes a member suspect.
+    /// Silence after which an alive member becomes suspect and a leaving one is removed.
     pub suspect_after: Duration,
-    /// Silence after which it counts as gone.
+    /// Silence after which a suspect member is removed.
     pub remove_after: Duration,
-    /// A gap between ticks that says that this process was paused.
+    /// Time between two ticks from which this process counts as having been suspended.
     pub pause_gap: Duration,
 }
 
@@ -27,20 +27,18 @@
     }
 }
 
-/// A heartbeat of another member that was heard of.
+/// A heartbeat of a member, received from it or relayed by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its name.
     pub name: String,
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The heartbeat's number.
+    /// Increases with each heartbeat of the incarnation.
     pub beat: u64,
-    /// Whether it leaves.
+    /// Whether the member is leaving.
     pub leaving: bool,
 }
 
-/// The members.
+/// The members known to an instance.
 #[derive(Clone, Debug)]
 pub struct Members {
     states: BTreeMap<String, MemberState>,
@@ -49,12 +47,11 @@
 }
 
 impl Members {
-    /// No members yet.
     pub const fn new(timing: Timing, now: Uptime) -> Self {
         Self { states: BTreeMap::new(), timing, last_tick: now }
     }
 
-    /// Takes a heartbeat in, whoever passed it on.
+    /// Processes a heartbeat, received directly or relayed.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Uptime) {
         let new = || MemberState::Alive(Member::new(heartbeat.incarnation, 0, now));
         let state = self.states.entry(heartbeat.name.clone()).or_insert_with(new);
@@ -64,15 +61,15 @@
         }
     }
 
-    /// The platform lists the instance as leaving.
+    /// Marks a member as leaving, as the platform's instance list has it.
     pub fn leave(&mut self, name: &str) {
         if let Some(state) = self.states.get_mut(name) {
             *state = state.leave();
         }
     }
 
-    /// Time has passed. After a pause of this process nobody is judged: all
-    /// get a new term, since it was this process that was not there.
+    /// Applies the timeouts at `now`. After a suspension of this process all members get a new
+    /// term instead, since their heartbeats may have been missed.
     pub fn tick(&mut self, now: Uptime) {
         let paused = now.since(self.last_tick) > self.timing.pause_gap;
         self.last_tick = now;
@@ -85,23 +82,22 @@
         }
     }
 
-    /// The state of a member.
     pub fn state(&self, name: &str) -> Option<&MemberState> {
         self.states.get(name)
     }
 
-    /// Whether a member takes part: alive, or suspect for a short time only.
+    /// Returns whether a member is alive.
     pub fn is_present(&self, name: &str) -> bool {
         matches!(self.state(name), Some(MemberState::Alive(_)))
     }
 
-    /// Names of the members that are alive.
+    /// Returns the names of the members that are alive.
     pub fn alive(&self) -> impl Iterator<Item = &str> {
         let alive = self.states.iter().filter(|(_, state)| matches!(state, MemberState::Alive(_)));
         alive.map(|(name, _)| name.as_str())
     }
 
-    /// A few members to name in the next heartbeat.
+    /// Chooses up to `count` members at random to relay in the next heartbeat.
     pub fn sample(&self, count: usize, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let is_member =
             |(_, state): &(&String, &MemberState)| !matches!(state, MemberState::Removed(_));
--- a/crates/mastweir-core/src/member/mod.rs
+++ b/crates/mastweir-core/src/member/mod.rs
@@ -1,15 +1,14 @@
-//! Who is there: alive, suspect, leaving, gone.
+//! Membership of entry instances: which are alive, suspect, leaving or removed.
 //!
-//! Two sources are joined: the platform's instance list, which lags both ways,
-//! and heartbeats. A member's life cycle is in its type ([`Member`]), so that a
-//! change that makes no sense, such as from gone back to alive without a new
-//! incarnation, can't be written down. [`Members`] holds one an instance, and
-//! spreads what it heard ([`Heartbeat`]): each heartbeat names a few others, so
-//! that one-way loss between two does not make a member suspect, and none has
-//! to hear from all.
+//! Members are learned from heartbeats, and the platform's instance list, which lags, can mark
+//! them as leaving. Each heartbeat also relays some heartbeats of others ([`Heartbeat`]), so that
+//! loss between two instances does not make either suspect and not every instance has to hear
+//! from all. Each instance keeps a [`Members`]. The state of a member is part of its type
+//! ([`Member`]), which rules out invalid transitions such as from removed to alive without a new
+//! incarnation.
 //!
-//! A process that was paused finds all others silent when it wakes. It must
-//! not judge by that, see [`Members::tick`].
+//! After a suspension of its process an instance finds all others silent; [`Members::tick`] then
+//! renews their terms.
 
 mod members;
 mod state;
--- a/crates/mastweir-core/src/member/state.rs
+++ b/crates/mastweir-core/src/member/state.rs
@@ -1,38 +1,38 @@
-//! The life cycle of one member, in its type.
+//! States of a member and the transitions between them.
 //!
 //! ```text
-//!  Alive <--heard--- Suspect
-//!    |  ---silent-->    |
-//!    |                  | silent for long, or off the list
-//!    +--leaves--> Leaving --> Removed
+//!  Alive <--heartbeat-- Suspect
+//!    |   ---silence-->     |
+//!    |                     | long silence
+//!    |                     +------------> Removed
+//!    +--leaves (also from Suspect)--> Leaving --silence--> Removed
 //! ```
 
 use crate::{id::Incarnation, time::Uptime};
 
-/// Heard of in time.
+/// State of a member with recent heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Alive;
 
-/// Not heard of for a while.
+/// State of a member without recent heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect;
 
-/// Said itself, or the list said, that it leaves.
+/// State of a member that is leaving, by its own heartbeat or the instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving;
 
-/// Not there any more.
+/// Final state of an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Removed;
 
 /// A member in state `S`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member<S> {
-    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Highest heartbeat of it that was heard of.
+    /// Highest heartbeat number received.
     pub beat: u64,
-    /// When that was.
+    /// When that heartbeat was received.
     pub last_seen: Uptime,
     state: S,
 }
@@ -42,7 +42,6 @@
         Member { incarnation: self.incarnation, beat: self.beat, last_seen: self.last_seen, state }
     }
 
-    /// It leaves.
     pub fn leave(self) -> Member<Leaving> {
         self.with(Leaving)
     }
@@ -58,51 +57,42 @@
 }
 
 impl Member<Alive> {
-    /// A member that was heard of first.
+    /// Creates a member on its first heartbeat.
     pub const fn new(incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
         Self { incarnation, beat, last_seen: now, state: Alive }
     }
 
-    /// It was silent for too long.
     pub fn suspect(self) -> Member<Suspect> {
         self.with(Suspect)
     }
 }
 
 impl Member<Suspect> {
-    /// It was heard of again.
     pub fn revive(self) -> Member<Alive> {
         self.with(Alive)
     }
 
-    /// It was silent for so long that it counts as gone.
     pub fn remove(self) -> Member<Removed> {
         self.with(Removed)
     }
 }
 
 impl Member<Leaving> {
-    /// It has left.
     pub fn remove(self) -> Member<Removed> {
         self.with(Removed)
     }
 }
 
-/// A member in whichever state it is.
+/// A member in any state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// See [`Alive`].
     Alive(Member<Alive>),
-    /// See [`Suspect`].
     Suspect(Member<Suspect>),
-    /// See [`Leaving`].
     Leaving(Member<Leaving>),
-    /// See [`Removed`].
     Removed(Member<Removed>),
 }
 
 impl MemberState {
-    /// The incarnation that it is the life of.
     pub const fn incarnation(&self) -> Incarnation {
         match self {
             Self::Alive(member) => member.incarnation,
@@ -112,7 +102,7 @@
         }
     }
 
-    /// The highest heartbeat heard of.
+    /// Returns the highest heartbeat number received.
     pub const fn beat(&self) -> u64 {
         match self {
             Self::Alive(member) => member.beat,
@@ -122,8 +112,8 @@
         }
     }
 
-    /// A heartbeat was heard of, directly or through others. Only a higher one
-    /// counts; a new incarnation begins a new life.
+    /// Processes a heartbeat, received directly or relayed. Only higher numbers count. A newer
+    /// incarnation replaces the member; an older one is ignored.
     #[must_use]
     pub fn on_heartbeat(self, incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
         if incarnation > self.incarnation() {
@@ -149,7 +139,7 @@
         }
     }
 
-    /// It says, or the list says, that it leaves.
+    /// Marks the member as leaving.
     #[must_use]
     pub fn leave(self) -> Self {
         match self {
@@ -159,7 +149,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Applies the timeouts at `now`.
     #[must_use]
     pub fn tick(self, now: Uptime, timing: &super::Timing) -> Self {
         match self {
--- a/crates/mastweir-core/src/switch/coordinator.rs
+++ b/crates/mastweir-core/src/switch/coordinator.rs
@@ -1,61 +1,59 @@
-//! The coordinator's side of a switch, for one group and one epoch.
+//! The coordinator's side of a map change, for one group and one epoch.
 //!
-//! Replies in, orders out. It is driven by [`Coordinator::orders`], which says
-//! what to send to which rank now (again, if no reply came), and
-//! [`Coordinator::on_reply`]. It never waits for a rank that is not there: without all
-//! ranks a switch can't begin, and the group is not fit to serve anyway.
+//! A state machine without I/O: [`Coordinator::orders`] returns the orders to send now, including
+//! those that lack a reply, and [`Coordinator::on_reply`] takes the replies. A change needs all
+//! ranks; while one is missing, the coordinator keeps sending and makes no progress.
 //!
-//! These ranks are ours: they keep the promise of a barrier, and refuse earlier epochs and
-//! rounds. Ranks that take plain orders, perhaps late, and check no token, are changed by
-//! [`map_change`](super::map_change), which may rest on none of that.
+//! The ranks have to be [`Rank`](super::Rank)s, which keep barriers and refuse orders of earlier
+//! epochs and rounds. Groups of other ranks are changed by [`map_change`](super::map_change).
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 
-/// Steps between the highest one seen and a barrier at first.
+/// Initial and smallest number of steps between the highest step known and a barrier.
 const MARGIN_MIN: Step = 4;
 const MARGIN_MAX: Step = 4_096;
 
-/// How far a coordinator is.
+/// Phase of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Seals the epoch before at every rank.
+    /// Sealing the previous epoch at every rank.
     Sealing,
-    /// All ranks run under this map.
+    /// All ranks use this map.
     Steady(MapVersion),
-    /// Ranks load the map.
+    /// Ranks are loading this map.
     Preparing(MapVersion),
-    /// Ranks promise not to begin the step. After a rank was lost, the steps
-    /// before the next grant are left out (`skips_step`), since it may have begun one.
+    /// Ranks are asked not to begin the step of the barrier. After a rank was replaced, that
+    /// step is skipped (`skips_step`), since its previous incarnation may have begun it.
     SettingBarrier {
-        /// The map that will be granted.
+        /// The map to grant next.
         map: MapVersion,
-        /// The first step that is not to be begun.
+        /// The first step that must not begin.
         barrier: Step,
-        /// Whether the grant begins beyond the barrier.
+        /// Whether the next grant begins one step after the barrier.
         skips_step: bool,
     },
-    /// Ranks are given the map from the step on.
+    /// Ranks are granted the map from the step on.
     Granting(MapVersion, Step),
 }
 
-/// A coordinator in one epoch of its lease.
+/// Coordinator of a group for one epoch of its lease.
 #[derive(Clone, Debug)]
 pub struct Coordinator {
     epoch: u64,
-    /// Rises with each change of progress: fences orders and replies of before.
+    /// Increases with each phase, so that late orders and replies are recognized.
     round: u64,
     progress: Progress,
-    /// What the ranks said last.
+    /// Last reported statuses.
     ranks: Vec<Option<RankStatus>>,
-    /// Ranks whose reply in the present progress is in.
+    /// Ranks that have acknowledged the current phase.
     acked: Vec<bool>,
     margin: Step,
-    /// The first map of a group in which no rank knows any.
+    /// Initial map, for groups in which no rank has a grant.
     first: MapVersion,
 }
 
 impl Coordinator {
-    /// A coordinator that begins with sealing.
+    /// Creates a coordinator that begins by sealing the previous epoch.
     pub fn new(epoch: u64, ranks: usize, first: MapVersion) -> Self {
         Self {
             epoch,
@@ -68,27 +66,25 @@
         }
     }
 
-    /// How far it is.
     pub const fn progress(&self) -> Progress {
         self.progress
     }
 
-    /// Its epoch.
     pub const fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// What the ranks said last.
+    /// Returns the last status of each rank; `None` before its first reply.
     pub fn statuses(&self) -> &[Option<RankStatus>] {
         &self.ranks
     }
 
-    /// Asks all ranks anew: after a rank was replaced while all was steady.
+    /// Returns to sealing, e.g. after a rank was replaced.
     pub fn reseal(&mut self) {
         self.enter(Progress::Sealing);
     }
 
-    /// Begins to change to `map`. False unless the group is steady.
+    /// Begins a change to `map`. Returns false unless the group is steady with an older map.
     pub fn begin(&mut self, map: MapVersion) -> bool {
         let Progress::Steady(current) = self.progress else { return false };
         if map <= current {
@@ -98,7 +94,7 @@
         true
     }
 
-    /// Gives a switch up that has granted nothing yet.
+    /// Aborts a change that has granted nothing yet. Returns whether there was one.
     pub fn abort(&mut self) -> bool {
         match self.progress {
             Progress::Preparing(_) => {
@@ -107,8 +103,8 @@
                 true
             }
             Progress::SettingBarrier { .. } => {
-                // Caps may have been taken: lift them at a step that none has
-                // begun, which needs a barrier at all of them first. Sealing does it.
+                // Some ranks may have the barrier. It can only be removed by a grant, which
+                // needs a barrier at all of them; sealing starts over with that.
                 self.enter(Progress::Sealing);
                 true
             }
@@ -116,13 +112,13 @@
         }
     }
 
-    /// Orders to send now: to ranks whose reply is missing.
+    /// Returns the orders to send now, to ranks that have not acknowledged the current phase.
     pub fn orders(&self) -> Vec<(usize, Order)> {
         let waiting = (0..self.ranks.len()).filter(|&rank| !self.acked[rank]);
         waiting.filter_map(|rank| Some((rank, self.order(rank)?))).collect()
     }
 
-    /// Takes the reply to an order in.
+    /// Processes the reply of a rank to an order.
     pub fn on_reply(&mut self, rank: usize, order: &Order, reply: RankReply) {
         let (status, ok) = match reply {
             RankReply::Ok(status) => (status, true),
@@ -172,7 +168,7 @@
         }
     }
 
-    /// A rank of another life has forgotten its grants.
+    /// Returns whether a rank has restarted and so has lost its grants.
     fn is_restarted(&self, rank: usize, status: &RankStatus) -> bool {
         let sealing = self.progress == Progress::Sealing;
         let known = self.ranks[rank].as_ref();
@@ -203,7 +199,7 @@
         }
     }
 
-    /// While granting, a rank that had to load first was not granted yet.
+    /// Clears acknowledgments of ranks that have only loaded the map and still need its grant.
     fn ungrant_unloaded(&mut self, map: MapVersion) {
         for (acked, status) in self.acked.iter_mut().zip(&self.ranks) {
             let granted = status.and_then(|status| status.grant).map(|(map, _)| map);
@@ -211,7 +207,7 @@
         }
     }
 
-    /// All ranks of the epoch before are sealed, and their statuses are in.
+    /// Chooses the next phase once all ranks are sealed and their statuses known.
     fn on_sealed(&mut self) {
         let known: Vec<RankStatus> = self.ranks.iter().flatten().copied().collect();
         let latest = known.iter().filter_map(|status| status.grant).max_by_key(|grant| grant.1);
@@ -223,12 +219,12 @@
         let last_barrier = known.iter().filter_map(|status| status.barrier).max();
         match (all_latest, any_new, last_barrier) {
             (true, _, None) => self.enter(Progress::Steady(map)),
-            // Some rank was granted the latest map, so all had promised to
-            // stop before it: the grant may be completed at the others.
+            // Some rank has the latest grant, so all had set the barrier before it. The grant
+            // can be completed at the others.
             (false, false, _) => self.enter(Progress::Granting(map, from)),
-            // Caps only: go on under the same map. If a rank was lost, its
-            // former life may have been granted the barrier's step and begun it,
-            // but not completed it: the steps up to there are left out.
+            // There are only barriers: grant the same map again. The previous incarnation of
+            // a replaced rank may have begun the step of the barrier but can't have completed
+            // it, so that step is skipped.
             _ => {
                 let past = self.highest_begun().max(from) + 1;
                 let barrier = last_barrier.unwrap_or(0).max(past);
--- a/crates/mastweir-core/src/switch/election.rs
+++ b/crates/mastweir-core/src/switch/election.rs
@@ -1,50 +1,48 @@
-//! When a rank's sidecar may try to become its group's coordinator.
+//! Decides when a rank's sidecar may try to become the coordinator of its group.
 //!
-//! The lease in the store makes a coordinator safe; this makes it rare that several ask
-//! for it. Ranks wait one behind the other, the more the higher their number, and a group
-//! whose coordinators change often waits longer each time: where messages are lost or
-//! late, another coordinator only adds to them.
+//! The lease in the store ensures that there is one coordinator; this module avoids that many
+//! sidecars request it at once. Each rank waits for a time that grows with its number. In a group
+//! whose coordinator changes often all ranks wait longer, since more changes only add to the load
+//! where messages are lost or late.
 
 use super::first_epoch;
 use crate::time::Uptime;
 use std::{collections::VecDeque, time::Duration};
 
-/// A coordinator that was not heard for this long is missing: four of its polls. A group
-/// may stand still for as long.
+/// Time without a sign of the coordinator after which it counts as failed: four poll periods.
 pub const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(450);
-/// The same where polls go through other ranks: one of those that is lost is noticed and
-/// passed over two polls later.
+/// Same as [`COORDINATOR_TIMEOUT`] in groups polled through aggregators: a failed aggregator
+/// is replaced only two polls later.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(650);
-/// Ranks up to which a coordinator polls each itself.
+/// Size of a group up to which the coordinator polls each rank itself.
 const DIRECT_RANKS_MAX: u32 = 16;
-/// Each rank waits this much longer than the one before, so that they do not all ask the
-/// store: it answers one in some ms, and the one that has asked is heard within a poll.
+/// Additional wait of each rank over the previous one. Long enough to take the lease and reach
+/// the others with a poll.
 const RANK_DELAY: Duration = Duration::from_millis(80);
-/// The same beyond the first ones: that all of those are silent is rare, and 512 ranks
-/// would wait for 41 s.
+/// Additional wait per rank after the first [`FIRST_RANKS`], which keeps it short in large
+/// groups.
 const LATER_RANK_DELAY: Duration = Duration::from_millis(20);
 const FIRST_RANKS: u32 = 16;
-/// Changes of coordinator count for this long, and each beyond the first doubles the wait,
-/// so often at most: 178 changes in 20 s in a group of 96 ranks were seen without.
+/// Each change of coordinator within this time, but the first, doubles the wait.
 const CHANGES_WINDOW: Duration = Duration::from_secs(10);
 const DOUBLINGS_MAX: u32 = 3;
 
-/// What a rank knows of its group's coordinators.
+/// A rank's knowledge of the coordinators of its group.
 #[derive(Clone, Debug, Default)]
 pub struct Election {
     token: u64,
-    silent_since: Uptime,
+    waiting_since: Uptime,
     changes: VecDeque<Uptime>,
 }
 
 impl Election {
-    /// Nothing was heard yet: the wait begins now.
+    /// Creates an election that knows of no coordinator; the wait begins at `now`.
     pub fn new(now: Uptime) -> Self {
-        Self { silent_since: now, ..Self::default() }
+        Self { waiting_since: now, ..Self::default() }
     }
 
-    /// A coordinator was heard of at a time, by any path. One with a lower token than
-    /// another's does not count: it is about to hear of that other itself.
+    /// Records a sign of the coordinator with `token` at a time, received from any source.
+    /// Ignored if a coordinator with a higher token is known.
     pub fn coordinator_seen(&mut self, token: u64, at: Uptime) {
         if token < self.token {
             return;
@@ -53,28 +51,28 @@
             self.token = token;
             self.changes.push_back(at);
         }
-        self.silent_since = self.silent_since.max(at);
+        self.waiting_since = self.waiting_since.max(at);
     }
 
-    /// The wait begins anew: this rank has no seat, was the coordinator itself, or tried.
+    /// Restarts the wait, e.g. after this rank has tried or was the coordinator itself.
     pub fn restart(&mut self, now: Uptime) {
-        self.silent_since = now;
+        self.waiting_since = now;
     }
 
-    /// Highest token that was heard of.
+    /// Returns the highest token known.
     pub const fn token(&self) -> u64 {
         self.token
     }
 
-    /// The token to take the lease with, which was taken last with that one in an generation of the
-    /// store: above all that were given out, also in eras that the store has lost.
+    /// Returns the token to take the lease with, where `last` is the token it was last taken
+    /// with in the store's `generation`. The result is above all tokens issued, including those
+    /// that a restored store has lost.
     pub fn next_token(&self, last: u64, generation: u64) -> u64 {
         last.max(self.token).max(first_epoch(generation)) + 1
     }
 
-    /// Whether the lease, taken last with a token, is another's that is about to be heard:
-    /// it was taken since a coordinator was last heard. Behind its own start a rank can't
-    /// tell that, and does not wait.
+    /// Returns whether to leave the lease, last taken with `token`, to a coordinator whose first
+    /// poll has not arrived yet. False while no coordinator is known, e.g. after a restart.
     pub fn defers_to(&mut self, token: u64, now: Uptime) -> bool {
         let defers = self.token > 0 && token > self.token;
         if defers {
@@ -83,10 +81,10 @@
         defers
     }
 
-    /// Whether the rank of that number, of so many, may try now.
+    /// Returns whether rank number `rank` of a group of `size` may try now.
     pub fn is_due(&mut self, rank: u32, size: u32, now: Uptime) -> bool {
         self.changes.retain(|at| now.since(*at) < CHANGES_WINDOW);
-        now.since(self.silent_since) >= self.wait(rank, size)
+        now.since(self.waiting_since) >= self.wait(rank, size)
     }
 
     fn wait(&self, rank: u32, size: u32) -> Duration {
--- a/crates/mastweir-core/src/switch/lease.rs
+++ b/crates/mastweir-core/src/switch/lease.rs
@@ -1,47 +1,44 @@
-//! A lease in the object API, with an epoch that rises with every holder.
+//! A lease in the platform's object store, with an epoch that increases with each new holder.
 //!
-//! Time is the holder's own monotonic clock, taken from before the request
-//! that renewed the lease was sent. Others never compare clocks: they take a
-//! lease over only after they have observed it unchanged for its whole term on
-//! their own clock. A holder that wakes from a pause asks
-//! [`Lease::is_held`] before each order; what it can still do wrong between
-//! that check and the effect, the epoch stops at the rank.
+//! Expiry is measured on the holder's own monotonic clock, from before the request that renewed
+//! the lease was sent. Clocks are never compared: another process takes the lease over only after
+//! it has seen the record unchanged for the whole term on its own clock. A holder that may have
+//! been suspended checks [`Lease::is_held`] before each order; ranks reject by its epoch what is
+//! sent too late all the same.
 
 use crate::{id::Fence, time::Uptime};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What is kept in the object API.
+/// The lease as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Who holds it.
     pub holder: Fence,
-    /// Rises with every change of holder.
+    /// Increases with each change of holder.
     pub epoch: u64,
-    /// Rises with every renewal, so that others see that it lives. Also tells
-    /// the holder, after a lost reply, whether its write landed.
+    /// Increases with each renewal, which shows others that the holder is alive and, after a
+    /// lost reply, the holder whether its write succeeded.
     pub renewal: u64,
-    /// Term in milliseconds.
     pub term_ms: u32,
 }
 
 impl LeaseRecord {
-    /// Name of the object that holds the lease of a group's coordinator.
+    /// Returns the name of the object for the lease of a group's coordinator.
     pub fn name_of(group: &str) -> String {
         format!("group.{group}")
     }
 }
 
-/// What to write next, if anything.
+/// What to do about a lease next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeasePlan {
-    /// Write this record, conditional on the version read.
+    /// Write the record if the stored version is still the one read.
     Write(LeaseRecord),
-    /// Another one holds it.
+    /// Another process holds the lease.
     Wait,
 }
 
-/// One process's side of one lease.
+/// One process's view of a lease.
 #[derive(Clone, Debug)]
 pub struct Lease {
     own: Fence,
@@ -51,22 +48,21 @@
 }
 
 impl Lease {
-    /// A lease of which nothing is known.
     pub const fn new(own: Fence, term: Duration) -> Self {
         Self { own, term, observed: None, held: None }
     }
 
-    /// The epoch, if it is held at `now`.
+    /// Returns the epoch if this process holds the lease at `now`.
     pub fn epoch(&self, now: Uptime) -> Option<u64> {
         self.held.filter(|(_, until)| now < *until).map(|(epoch, _)| epoch)
     }
 
-    /// Whether it is held at `now`.
+    /// Returns whether this process holds the lease at `now`.
     pub fn is_held(&self, now: Uptime) -> bool {
         self.epoch(now).is_some()
     }
 
-    /// What to write, given what was read (`None`: there is no record).
+    /// Decides what to write, given the stored record, if there is one.
     pub fn plan(&mut self, read: Option<&LeaseRecord>, now: Uptime) -> LeasePlan {
         let Some(record) = read else { return LeasePlan::Write(self.record(1, 1)) };
         if self.observed.as_ref().is_none_or(|(observed, _)| observed != record) {
@@ -83,7 +79,7 @@
         LeasePlan::Wait
     }
 
-    /// A write is known to have landed; the request began at `sent`.
+    /// Records that `record`, written by a request begun at `sent`, is stored.
     pub fn mark_written(&mut self, record: &LeaseRecord, sent: Uptime) {
         if record.holder != self.own {
             self.held = None;
@@ -93,7 +89,7 @@
         self.observed = Some((record.clone(), sent));
     }
 
-    /// It is another's by now.
+    /// Records that another process has taken the lease.
     pub fn mark_lost(&mut self) {
         self.held = None;
     }
--- a/crates/mastweir-core/src/switch/map_change.rs
+++ b/crates/mastweir-core/src/switch/map_change.rs
@@ -1,200 +1,178 @@
-//! Changing the map of a group whose ranks take orders themselves.
+//! Changes the expert map of a group whose servers take fenced orders.
 //!
-//! Here the ranks are not ours: they take fenced orders, and an order that got no
-//! answer may be carried out seconds later. So nothing is decided from what was
-//! sent, only from what the ranks say ([`RankState`]), and each order names the
-//! number of orders that its rank had taken: of an order and its repetition only
-//! one can count, and a late one finds that number passed.
+//! These ranks are not [`Rank`](super::Rank)s, and an order without an answer may still be carried
+//! out seconds later. So decisions rest only on the states that the ranks report ([`RankState`]),
+//! never on which orders were sent. Each order names the number of orders that its rank had taken,
+//! so that of an order and its retries only one is accepted.
 //!
-//! A change goes: load the new map at every rank; pause the group before a pass
-//! that has not begun; schedule the new map for that pass at every rank; resume.
-//! While the group is paused the pass can't begin, however late an order is.
-//! [`decide`] gives the next orders for any state of the ranks. It is the same for
-//! the coordinator that began the change and for one that took over:
+//! A change loads the new map at every rank, pauses the group before a pass that has not begun,
+//! schedules the map for that pass at every rank, and resumes the group. While the group is paused
+//! the pass can't begin, however late an order arrives. [`decide`] returns the next orders for any
+//! state of the ranks, and is the same for the coordinator that began the change and for a
+//! successor:
 //!
-//! - a paused group is resumed only when every rank has the same map scheduled;
-//! - where only some have one scheduled, the others get it, if they have it loaded;
-//! - a version is cancelled only once some rank has gone on to a newer one: a rank
-//!   never takes an older version, so none can be scheduled at all ranks again, and
-//!   an order to cancel it does no harm, however late it is. Where no rank has gone on,
-//!   the coordinator loads a map of its own where nothing is scheduled;
-//! - where none has one scheduled, the coordinator's own map is loaded and scheduled.
-//!   With that no rank can schedule a predecessor's map any more.
+//! - A paused group is resumed only when every rank has the same map scheduled.
+//! - If only some ranks have a map scheduled and the others have it loaded, it is scheduled there.
+//! - If the others can't get it, a version is cancelled only once some rank has a newer one. A rank
+//!   never accepts an older version, so the cancelled one can't come to be scheduled at all ranks
+//!   and a late order to cancel it does no harm. Until some rank has a newer version, the
+//!   coordinator loads its own map where nothing is scheduled.
+//! - If no rank has a map scheduled, the coordinator's own map is loaded and scheduled. From then
+//!   on no rank accepts a predecessor's map.
 //!
-//! None of this rests on tokens being checked, since not all servers look at them.
+//! None of this relies on fencing tokens, since not all servers check them.
 //!
-//! A coordinator pauses the group at the rank behind its own, once all ranks have its
-//! map loaded, and schedules at its own rank last, once all others have it. So a
-//! successor that can't reach its predecessor's rank knows: if the pause is the
-//! predecessor's, no map older than the predecessor's can be scheduled at that rank;
-//! and if any other rank has nothing scheduled, that one hasn't either. It takes back
-//! what is scheduled, loads a map of its own at the others, and resumes. A pause for
-//! another reason lies one rank further, so that it is not taken for that. A
-//! coordinator never goes on with the change of one that came after it.
+//! A coordinator pauses the group at the rank after its own, once all ranks have its map loaded,
+//! and schedules the map at its own rank last, once all others have it. This lets a successor roll back
+//! the change when it can't reach the predecessor's rank: if the pause is the predecessor's, no
+//! older map can be scheduled at that rank, and if any other rank has nothing scheduled, that rank
+//! has not either. The successor cancels what is scheduled, loads its own map at the other ranks
+//! and resumes. A pause for another reason is set one rank further, so that it can be told apart.
+//! A coordinator never continues the change of a successor.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Experts of one rank, by set.
+/// Experts of one rank by set.
 pub type RankExperts = Vec<Vec<u16>>;
 /// Experts by set and rank.
 pub type GroupMap = Vec<Vec<Vec<u16>>>;
 
-/// Changes of maps under one token, as a power of two.
+/// Bits of a version that number the maps of one token.
 const VERSIONS_BITS: u32 = 20;
 
-/// The version that a coordinator gives the map of one of its changes. Tokens are the
-/// higher bits, so that no two coordinators give the same to two maps, and a
-/// successor's are above its predecessors'.
+/// Returns the version of a coordinator's map `number`. The token is in the high bits, so that
+/// versions are unique and those of a successor are higher.
 pub const fn version(token: u64, number: u64) -> u64 {
     (token << VERSIONS_BITS) + number
 }
 
-/// Token of the coordinator whose version it is.
+/// Returns the token of the coordinator that issued a version.
 const fn owner(version: u64) -> u64 {
     version >> VERSIONS_BITS
 }
 
-/// What a rank says of itself.
+/// State of a rank, as its server reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankState {
-    /// Life of the group; all else is forgotten with it.
+    /// Changes when the group forms anew, which resets the state of its ranks.
     pub epoch: u64,
-    /// Number in the group.
+    /// Number of the rank in its group.
     pub rank: u32,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: u32,
     /// Whether the group makes passes.
     pub open: bool,
-    /// Whether an order is under way.
+    /// Whether the rank is still carrying out an order.
     pub busy: bool,
     /// The last pass begun.
     pub pass: u64,
-    /// Orders taken.
+    /// Number of orders taken.
     pub order_seq: u64,
     /// Version of the map in force.
     pub map: u64,
-    /// Version of the map that is loaded besides, once it is whole.
+    /// Version of another map that is completely loaded.
     pub loaded: Option<u64>,
-    /// Version that takes force, and the pass as which begins it does.
+    /// Scheduled version and the pass from which on it is in force.
     pub scheduled: Option<(u64, u64)>,
-    /// Pass before which the group is paused by this rank.
+    /// Pass before which this rank pauses the group.
     pub paused: Option<u64>,
 }
 
 impl RankState {
-    /// Whether the change to a version has gone so far that it has to be ended: loads
-    /// alone can be left.
+    /// Returns whether a change to `version` has gone beyond loading, so that it can't be dropped.
     pub fn has_begun(&self, version: u64) -> bool {
         self.paused.is_some() || self.scheduled.is_some() || self.map == version
     }
 
-    /// Whether it has had a newer version, so that it takes this one no more.
+    /// Returns whether the rank has a newer version and so no longer accepts this one.
     fn has_newer(&self, version: u64) -> bool {
         let scheduled = self.scheduled.map(|(scheduled, _)| scheduled);
         self.map > version || self.loaded.max(scheduled) > Some(version)
     }
 
-    /// Token of the coordinator whose map it has loaded or scheduled.
+    /// Returns the token of the coordinator of the newest map loaded or scheduled.
     fn change_token(&self) -> Option<u64> {
         let scheduled = self.scheduled.map(|(scheduled, _)| scheduled);
         self.loaded.max(scheduled).map(owner)
     }
 }
 
-/// What a rank is to do.
+/// What an order asks of a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Load the experts of a new map.
+    /// Load the rank's experts of a new map.
     Load {
-        /// Its version.
         version: u64,
-        /// The map, shared by the orders to all ranks: 96 copies of 4,608 places would
-        /// be most of a step's processor time.
+        /// Shared by the orders to all ranks, since it is large.
         map: Arc<GroupMap>,
     },
     /// Use a loaded map from a pass on.
-    Schedule {
-        /// Its version.
-        version: u64,
-        /// The pass.
-        pass: u64,
-    },
-    /// Don't, after all.
-    Cancel {
-        /// The version.
-        version: u64,
-    },
-    /// Don't begin a pass.
-    Pause {
-        /// The pass.
-        pass: u64,
-    },
-    /// Begin it.
-    Resume {
-        /// The pass.
-        pass: u64,
-    },
+    Schedule { version: u64, pass: u64 },
+    /// Drop a scheduled map.
+    Cancel { version: u64 },
+    /// Don't begin the pass.
+    Pause { pass: u64 },
+    /// End the pause before the pass.
+    Resume { pass: u64 },
 }
 
 /// An order to a rank.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Token of the coordinator.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// Orders that the rank had taken.
+    /// Number of orders that the rank had taken. It refuses the order if that has changed.
     pub order_seq: u64,
-    /// Life of the group.
+    /// Epoch of the group that the order is for.
     pub epoch: u64,
-    /// What to do.
     pub kind: OrderKind,
 }
 
-/// What a rank made of an order.
+/// Outcome of an order at its rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It holds, or has begun.
+    /// Carried out, or being carried out.
     Accepted,
-    /// It does not fit the rank's state.
+    /// Refused, since it does not fit the rank's state.
     Conflict,
-    /// A coordinator with a higher token was there.
+    /// Refused, since the rank knows a higher token.
     Fenced,
 }
 
-/// A map that a coordinator wants in force.
+/// The map that a coordinator wants in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetMap {
-    /// Its version, above all that the ranks had.
+    /// Higher than all versions that the ranks had.
     pub version: u64,
-    /// The map.
     pub map: Arc<GroupMap>,
 }
 
-/// What to do next.
+/// What a coordinator does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Orders by rank.
+    /// Send these orders, given with their ranks.
     Orders(Vec<(usize, OrderKind)>),
-    /// The group is paused and nothing is wanted: want something, if only the
-    /// map in force under a new version.
+    /// Choose a target map, since the group is paused without one. The map in force under a new
+    /// version will do.
     NeedTarget,
-    /// Nothing; look again later.
+    /// Decide again later.
     Wait,
 }
 
-/// A group, as its coordinator sees it.
+/// A group and its coordinator, as [`decide`] needs them.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupSnapshot<'a> {
-    /// States of all ranks, in order; none where a rank can't be reached.
+    /// States of all ranks in order; `None` if a rank can't be reached.
     pub ranks: &'a [Option<RankState>],
-    /// The coordinator's own rank.
+    /// Rank of the coordinator.
     pub own: usize,
-    /// The coordinator's token.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// The rank of the coordinator whose token is one lower, if it was another's.
+    /// Rank of the coordinator with the token before, if it is another rank and known.
     pub predecessor: Option<usize>,
-    /// Passes between the last one begun and the one before which the group is
-    /// paused: as many as the orders to all ranks take, so that it does not stand.
+    /// Number of passes from the last one begun to the one before which the group is paused.
+    /// Should cover the time of the orders to all ranks, so that the group does not stall.
     pub lookahead: u64,
 }
 
@@ -207,38 +185,38 @@
         self.known().all(|(_, rank)| holds(rank))
     }
 
-    /// Whether all that is known is of one life of a group that makes passes.
+    /// Returns whether all known states are of one epoch of the group, which makes passes.
     fn is_consistent(&self) -> bool {
         let Some((_, first)) = self.known().next() else { return false };
         let same = |rank: &RankState| rank.epoch == first.epoch && rank.open;
         self.ranks.len() == first.size as usize && self.all(same)
     }
 
-    /// Whether every rank is known.
+    /// Returns whether the states of all ranks are known.
     fn is_complete(&self) -> bool {
         self.ranks.iter().all(Option::is_some)
     }
 
-    /// Whether only the predecessor's rank is not known.
+    /// Returns whether the predecessor's rank is the only one of unknown state.
     fn misses_only_predecessor(&self) -> bool {
         let missing: Vec<usize> =
             (0..self.ranks.len()).filter(|at| self.ranks[*at].is_none()).collect();
         missing.len() == 1 && missing.first().copied() == self.predecessor
     }
 
-    /// The rank at which a coordinator pauses the group for its own change.
+    /// Returns the rank at which the coordinator of rank `own` pauses the group for its change.
     const fn next_rank(&self, own: usize) -> usize {
         (own + 1) % self.ranks.len()
     }
 
-    /// Whether the group is paused by its predecessor's change, and by nothing else:
-    /// then no older map is or comes to be scheduled at the predecessor's rank.
+    /// Returns whether the group is paused only by the change of the predecessor. Then no older
+    /// map is or can come to be scheduled at the predecessor's rank.
     fn is_paused_by(&self, predecessor: usize) -> bool {
         let mut paused = self.known().filter(|(_, rank)| rank.paused.is_some());
         let is_predecessors = |(at, rank): (usize, &RankState)| {
             at == self.next_rank(predecessor) && rank.change_token() >= Some(self.token - 1)
         };
-        // Of two ranks, the one behind the next is the same.
+        // With two ranks, a pause for another reason is at the same rank.
         self.ranks.len() > 2 && paused.all(is_predecessors)
     }
 
@@ -249,7 +227,7 @@
     }
 }
 
-/// Decides the next orders.
+/// Decides what the coordinator does next.
 pub fn decide(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
     if !group.is_consistent() {
         return Action::Wait;
@@ -270,7 +248,7 @@
     }
 }
 
-/// Paused, and a map is scheduled at some ranks at least.
+/// Handles a paused group in which at least one rank has a map scheduled.
 fn complete(group: GroupSnapshot<'_>, scheduled: (u64, u64), target: Option<&TargetMap>) -> Action {
     let (version, pass) = scheduled;
     let has = |rank: &RankState| rank.scheduled == Some(scheduled);
@@ -286,10 +264,10 @@
     replace(group, target)
 }
 
-/// Some ranks have a version scheduled that others can't get. It is cancelled where
-/// some rank has gone on to a newer one; until then, ranks are made to go on. Were it
-/// cancelled sooner, the order could come late, after all had it scheduled and the
-/// group was told to resume: a pass under two maps.
+/// Handles a version that some ranks have scheduled and others can't get. Until some rank has a
+/// newer one, the target map is loaded; then the version is cancelled. Cancelled sooner, the order
+/// could arrive after all ranks had it scheduled and the group was resumed, and a pass would run
+/// under two maps.
 fn replace(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
     let is_lost = |version: u64| group.known().any(|(_, rank)| rank.has_newer(version));
     let cancel = group.order_each(|_, rank| {
@@ -303,7 +281,7 @@
     load(group, target)
 }
 
-/// Schedules where it is not yet; at the coordinator's own rank last.
+/// Schedules a version at the ranks that lack it, the coordinator's own rank last.
 fn schedule_missing(group: GroupSnapshot<'_>, version: u64, pass: u64) -> Action {
     let lacks = |rank: &RankState| rank.scheduled != Some((version, pass));
     let others = group.known().any(|(at, rank)| at != group.own && lacks(rank));
@@ -311,7 +289,7 @@
     group.order_each(|at, rank| ((at == group.own) != others && lacks(rank)).then(|| order.clone()))
 }
 
-/// Paused, and nothing is scheduled.
+/// Handles a paused group in which no rank has a map scheduled.
 fn schedule(group: GroupSnapshot<'_>, target: Option<&TargetMap>, pass: u64) -> Action {
     let Some(target) = target else { return Action::NeedTarget };
     if !group.all(|rank| rank.loaded == Some(target.version)) {
@@ -320,12 +298,12 @@
     schedule_missing(group, target.version, pass)
 }
 
-/// Paused, and the predecessor's rank can't be reached.
+/// Handles a paused group in which the predecessor's rank can't be reached.
 fn roll_back(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
     let is_predecessors =
         group.predecessor.is_some_and(|predecessor| group.is_paused_by(predecessor));
     if !is_predecessors || group.all(|rank| rank.scheduled.is_some()) {
-        // That rank may have it scheduled, or not: only it can tell.
+        // Whether the predecessor's rank has the map scheduled is unknown.
         return Action::Wait;
     }
     if !group.all(|rank| rank.scheduled.is_none()) {
@@ -338,8 +316,8 @@
     group.order_each(|_, rank| rank.paused.map(|pass| OrderKind::Resume { pass }))
 }
 
-/// Scheduled without a pause: every rank has it, or its pass has begun since
-/// some of the states were read. If neither, the group is paused to mend it.
+/// Handles a scheduled map in a group that is not paused. Either all ranks have it, or its pass
+/// has begun since some of the states were read. Otherwise the group is paused for repair.
 fn check_scheduled(group: GroupSnapshot<'_>, scheduled: (u64, u64)) -> Action {
     let agreed = group.all(|rank| rank.scheduled == Some(scheduled));
     let begun = |rank: &RankState| rank.pass >= scheduled.1 || rank.map == scheduled.0;
@@ -349,7 +327,7 @@
     pause(group, group.next_rank(group.next_rank(group.own)), scheduled.1)
 }
 
-/// Nothing is under way.
+/// Handles a group without a change in progress.
 fn start_change(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
     let Some(target) = target else { return Action::Wait };
     if !group.all(|rank| rank.map < target.version) {
@@ -362,7 +340,7 @@
     pause(group, group.next_rank(group.own), last + group.lookahead)
 }
 
-/// At another rank than the coordinator's own, which may be lost with it.
+/// Pauses the group at a rank, but never at the coordinator's own, which may fail together with it.
 fn pause(group: GroupSnapshot<'_>, at: usize, pass: u64) -> Action {
     let at = if at == group.own { group.next_rank(at) } else { at };
     Action::Orders(vec![(at, OrderKind::Pause { pass })])
--- a/crates/mastweir-core/src/switch/maps.rs
+++ b/crates/mastweir-core/src/switch/maps.rs
@@ -1,8 +1,8 @@
-//! The maps of a group that a sidecar knows, and changes against them.
+//! Expert maps of a group as sidecars keep and exchange them.
 //!
-//! An order to load names what changes against the map in force, and the sidecar beside
-//! the server writes the whole of it, where that is free. One that lacks the map in force,
-//! since it has just started, says so and gets all.
+//! An order to load a map carries only its differences from the map in force ([`MapDelta`]); the
+//! sidecar next to each server restores the full map from its [`MapCache`]. A sidecar that lacks
+//! the base map, e.g. after a restart, replies so and is sent the full map.
 
 use super::map_change::GroupMap;
 use serde::{Deserialize, Serialize};
@@ -12,27 +12,25 @@
     sync::Arc,
 };
 
-/// MapCache that are kept: the one in force, the one that is being loaded, and one that a
-/// coordinator before had loaded.
+/// Maps kept: enough for the one in force, the one being loaded and those of a previous
+/// coordinator.
 const MAPS_MAX: usize = 4;
 
-/// A map by what changes against another that sidecars know: 8 bytes a rank and set that
-/// change, where all of it is 40 KB in a group of 512 ranks.
+/// An expert map, as its differences from a base map that the receiver knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MapDelta {
-    /// Version of the map.
     pub version: u64,
-    /// Version of the one that it is based on.
+    /// Version of the base map.
     pub base: u64,
-    /// Digest of the whole map: a base that differs must not be taken for it.
+    /// Digest of the full map, to detect that the receiver has another base map.
     pub digest: u64,
-    /// Experts of a set at a rank, where they differ from the base.
+    /// Set, rank and the rank's experts in that set, where they differ from the base map.
     pub changes: Vec<(u16, u16, Vec<u16>)>,
-    /// All of it, for sidecars that lack the base.
+    /// The full map, for receivers that lack the base map.
     pub full: Option<GroupMap>,
 }
 
-/// MapCache by version, of one life of a group.
+/// The latest maps by version, of one epoch of a group.
 #[derive(Debug, Default)]
 pub struct MapCache {
     epoch: u64,
@@ -40,19 +38,18 @@
 }
 
 impl MapCache {
-    /// Forgets what was known of another life of the group.
+    /// Drops the maps of another epoch of the group.
     pub fn set_epoch(&mut self, epoch: u64) {
         if std::mem::replace(&mut self.epoch, epoch) != epoch {
             self.maps.clear();
         }
     }
 
-    /// The map of a version.
     pub fn get(&self, version: u64) -> Option<Arc<GroupMap>> {
         self.maps.get(&version).cloned()
     }
 
-    /// Keeps a map.
+    /// Adds a map and evicts the lowest versions beyond the limit.
     pub fn insert(&mut self, version: u64, map: Arc<GroupMap>) {
         self.maps.insert(version, map);
         while self.maps.len() > MAPS_MAX {
@@ -60,7 +57,7 @@
         }
     }
 
-    /// The map that a change makes, if its base is known.
+    /// Returns the map that `delta` describes; `None` if the base map is unknown or differs.
     #[must_use]
     pub fn apply(&mut self, delta: &MapDelta) -> Option<Arc<GroupMap>> {
         if let Some(map) = self.get(delta.version).filter(|map| digest(map) == delta.digest) {
@@ -89,7 +86,7 @@
 }
 
 impl MapDelta {
-    /// What changes from one map to another.
+    /// Creates the delta from a base map, given with its version.
     pub fn from_base(base: (u64, &GroupMap), version: u64, map: &GroupMap) -> Self {
         let mut changes = Vec::new();
         for (set, (before, now)) in base.1.iter().zip(map).enumerate() {
@@ -102,7 +99,7 @@
         Self { version, base: base.0, digest: digest(map), changes, full: None }
     }
 
-    /// All of a map.
+    /// Creates a delta that holds the full map.
     pub fn full(version: u64, map: &GroupMap) -> Self {
         let full = Some(map.clone());
         Self { version, base: 0, digest: digest(map), changes: Vec::new(), full }
@@ -113,14 +110,14 @@
     u16::try_from(position).unwrap_or(u16::MAX)
 }
 
-/// Tells maps apart. Both sides run one version of this program.
+/// Hashes a map. The value is only stable within one version of this program.
 fn digest(map: &GroupMap) -> u64 {
     let mut hasher = DefaultHasher::new();
     map.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The map of a group's new life, as its pages say: experts dealt out in turn.
+/// Returns the initial map of a group, which assigns the experts of each set to ranks in turn.
 pub fn round_robin_map(sets: usize, experts: usize, ranks: usize) -> GroupMap {
     let experts = u16::try_from(experts).unwrap_or(u16::MAX);
     let of = |rank: usize| (0..experts).filter(|e| usize::from(*e) % ranks == rank).collect();
--- a/crates/mastweir-core/src/switch/mod.rs
+++ b/crates/mastweir-core/src/switch/mod.rs
@@ -1,18 +1,21 @@
-//! How all ranks of a group change their expert map at one and the same step.
+//! Changes the expert map of a rank group at the same step on every rank.
 //!
-//! Ranks run in lock-step, and in every step all must use one map. The way
-//! chosen (`docs/design/switch.md` weighs the others) is a cap: each rank holds
-//! an open grant, "from step F on, map M". To change the map, a [`Coordinator`]
-//! first has every rank promise not to begin step T without a new grant. Once
-//! *all* have promised, no rank can run T under M, so "from T on, map M'" may be
-//! given out in any order, late or twice. A coordinator that dies in between
-//! leaves ranks that run on, or that wait at T; the next one seals its
-//! predecessor's epoch at every rank and finds out which.
+//! Ranks run in lock-step, so in each step all must use the same map. Two kinds of ranks are
+//! supported:
 //!
-//! Without a coordinator, groups go on under the map they have: an outage of
-//! the platform, or a lapsed lease, stops no group.
+//! - Ranks that keep the rules of this crate ([`Rank`]) are changed by a [`Coordinator`] through
+//!   barriers. Each rank holds an open-ended grant, "from step F on, use map M". To change the
+//!   map, the coordinator first has every rank promise not to begin step T without a new grant.
+//!   Once all have promised, no rank can run step T under M, so the grant "from T on, use M'"
+//!   may reach the ranks in any order, late or twice. If a coordinator fails in between, its
+//!   successor seals the previous epoch at every rank, which also returns the ranks' states, and
+//!   completes or undoes the change.
+//! - Ranks of servers that only take fenced orders are changed by [`map_change`], which makes no
+//!   such assumptions.
 //!
-//! [`Rank`] is the rank's side. It belongs beside the engine's step loop.
+//! A group keeps its map while it has no coordinator, so that neither an outage of the platform
+//! nor an expired lease stops it. The other modules elect the coordinator ([`election`],
+//! [`Lease`]) and decide how it reaches the ranks ([`subtrees`], [`maps`]).
 
 mod coordinator;
 pub mod election;
@@ -31,96 +34,90 @@
 use crate::id::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// Epochs that an generation of the platform's store has room for: a group that changes its
-/// coordinator each second takes them in 136 years.
+/// Epochs per generation of the platform's store.
 const EPOCHS_PER_GENERATION: u64 = 1 << 32;
-/// Eras told apart. Beyond them epochs would leave the 53 bits that every reader of JSON
-/// keeps.
+/// Generations with epochs of their own. More would take epochs beyond the 53 bits that every
+/// JSON reader preserves.
 const GENERATIONS_MAX: u64 = 1 << 20;
 
-/// The epoch below the first that is given out in an generation of the store. A store that comes
-/// back from an older copy has lost the epochs given out since; ranks have seen them, and must
-/// see none of them again.
+/// Returns the number below the first epoch of a generation of the store. A store restored
+/// from an older copy has lost the epochs issued since, and those must not be issued again.
 pub const fn first_epoch(generation: u64) -> u64 {
     let generation = if generation < GENERATIONS_MAX { generation } else { GENERATIONS_MAX };
     generation * EPOCHS_PER_GENERATION
 }
 
-/// Version of an expert map; rises with each map of a group.
+/// Version of an expert map; increases with each map of a group.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MapVersion(pub u64);
 
-/// Number of a step.
 pub type Step = u64;
 
-/// An order under the epoch of the coordinator's lease.
+/// An order of a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Epoch of the lease.
+    /// Epoch of the coordinator's lease.
     pub epoch: u64,
-    /// Round of the epoch.
+    /// Increases within an epoch with each phase of the coordinator.
     pub round: u64,
-    /// The life of the rank that it is for. A seal is for any: it asks.
+    /// Incarnation of the rank that the order is for. Ignored for [`Verb::Seal`].
     #[serde(rename = "life")]
     pub incarnation: Option<Incarnation>,
-    /// What to do.
     pub verb: Verb,
 }
 
 /// An order to one rank of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankOrder {
-    /// Name of the group.
     pub group: String,
     /// Number of the rank in its group.
     pub rank: u16,
-    /// The order.
     pub order: Order,
 }
 
-/// What a rank is to do.
+/// What an order asks of a rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verb {
-    /// Take no more orders of earlier epochs, and report.
+    /// Refuse orders of earlier epochs from now on, and return the status.
     Seal,
-    /// Load what the map needs.
+    /// Load the experts of the map.
     Prepare(MapVersion),
-    /// Do not begin this step, or a later one, without a new grant.
+    /// Don't begin this step or a later one without a new grant.
     #[serde(rename = "Cap")]
     Barrier(Step),
-    /// From this step on, use this map. Ends the cap.
+    /// Use the map from the step on. Removes the barrier.
     Grant(MapVersion, Step),
 }
 
-/// What a rank says of itself.
+/// State of a rank, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankStatus {
-    /// Its life; another one has forgotten all.
+    /// A new incarnation has lost all state of the previous one.
     pub incarnation: Incarnation,
-    /// Highest epoch it has seen.
+    /// Highest epoch that the rank has accepted.
     pub epoch: u64,
-    /// The last grant, if any.
+    /// The last grant: a map and its first step.
     pub grant: Option<(MapVersion, Step)>,
-    /// The cap, if any.
+    /// First step that the rank may not begin without a new grant.
     #[serde(rename = "cap")]
     pub barrier: Option<Step>,
-    /// The last step that it began.
+    /// The last step begun.
     pub begun: Step,
-    /// The last map that it has loaded.
+    /// The newest map loaded.
     pub loaded: MapVersion,
 }
 
-/// Answer to an order.
+/// Reply to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RankReply {
-    /// Carried out, or was already.
+    /// Carried out, now or before.
     Ok(RankStatus),
-    /// Not carried out: an older epoch, or the step has begun.
+    /// Not carried out, e.g. since the epoch is older or the step has begun.
     Refused(RankStatus),
-    /// Not carried out yet: loading.
+    /// Not carried out yet: the map is still being loaded.
     Busy(RankStatus),
-    /// The agent has not learned the highest epoch yet, or has no such rank.
+    /// The agent does not know the highest epoch yet, or has no such rank.
     NotReady,
 }
--- a/crates/mastweir-core/src/switch/rank.rs
+++ b/crates/mastweir-core/src/switch/rank.rs
@@ -1,9 +1,10 @@
-//! A rank's side of a switch.
+//! The rank's side of a map change: keeps grants and the barrier, and checks orders against them.
+//! It runs next to the engine's step loop.
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 use crate::id::Incarnation;
 
-/// What one rank has promised and was granted.
+/// Grants and barrier of one rank.
 ///
 /// ```
 /// use mastweir_core::{
@@ -14,7 +15,7 @@
 /// let incarnation = Some(Incarnation(1));
 /// let order = |epoch, round, verb| Order { epoch, round, incarnation, verb };
 /// let mut rank = Rank::new(Incarnation(1));
-/// // Without a grant it runs nothing.
+/// // Without a grant no step may begin.
 /// assert_eq!(rank.next_step(), None);
 /// rank.on_order(&order(1, 1, Verb::Seal));
 /// rank.on_order(&order(1, 2, Verb::Prepare(MapVersion(1))));
@@ -24,7 +25,7 @@
 /// rank.begin(1);
 /// rank.on_order(&order(1, 3, Verb::Barrier(2)));
 /// assert_eq!(rank.next_step(), None);
-/// // An order of a former coordinator comes late.
+/// // A late order of an earlier epoch is refused.
 /// let late = rank.on_order(&order(0, 9, Verb::Grant(MapVersion(9), 2)));
 /// assert!(matches!(late, RankReply::Refused(_)));
 /// ```
@@ -32,9 +33,9 @@
 pub struct Rank {
     incarnation: Incarnation,
     epoch: u64,
-    /// Highest round of the epoch.
+    /// Highest round seen in the epoch.
     round: u64,
-    /// Maps by first step; the last one may be ahead.
+    /// Maps with their first steps, in order; the last may begin at a later step.
     grants: Vec<(MapVersion, Step)>,
     barrier: Option<Step>,
     begun: Step,
@@ -42,7 +43,7 @@
 }
 
 impl Rank {
-    /// A rank that has just started: it knows nothing and runs nothing.
+    /// Creates a rank without grants.
     pub const fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Carries an order out, or refuses it.
+    /// Carries out or refuses an order.
     pub fn on_order(&mut self, order: &Order) -> RankReply {
         if !self.is_current(order) {
             return RankReply::Refused(self.status());
@@ -76,28 +77,28 @@
         }
     }
 
-    /// Whether an order may be carried out by this life, now.
+    /// Returns whether the order is for this incarnation and neither late nor of an unsealed epoch.
     fn is_current(&self, order: &Order) -> bool {
         let is_stale = (order.epoch, order.round) < (self.epoch, self.round);
         let seals = order.verb == Verb::Seal;
-        // The predecessor must be sealed first, or two could act at once.
+        // The previous epoch must be sealed first, or two coordinators could act at once.
         let unsealed = order.epoch > self.epoch && !seals;
-        // An order for a former life rests on what that one had promised.
+        // An order for another incarnation relies on promises that this one did not make.
         let other_incarnation = order.incarnation != Some(self.incarnation) && !seals;
         !is_stale && !unsealed && !other_incarnation
     }
 
-    /// The weights of a map are there.
+    /// Records that the experts of a map are loaded.
     pub fn load(&mut self, map: MapVersion) {
         self.loaded = self.loaded.max(map);
     }
 
-    /// The next step that may be begun, and its map. `None`: wait.
+    /// Returns the next step that may begin and its map; `None` if the rank has to wait.
     pub fn next_step(&self) -> Option<(Step, MapVersion)> {
         let next = self.begun + 1;
         let (map, step) = match self.grants.iter().rev().find(|(_, from)| *from <= next) {
             Some((map, _)) => (*map, next),
-            // A new rank of a group that goes on further ahead.
+            // A new rank joins its group at a later step.
             None => self.grants.first().map(|(map, from)| (*map, *from))?,
         };
         if self.barrier.is_some_and(|barrier| step >= barrier) {
@@ -106,14 +107,13 @@
         Some((step, map))
     }
 
-    /// A step begins.
+    /// Records that a step begins, and drops grants that ended before it.
     pub fn begin(&mut self, step: Step) {
         self.begun = self.begun.max(step);
         let Some(current) = self.grants.iter().rposition(|(_, from)| *from <= step) else { return };
         self.grants.drain(..current);
     }
 
-    /// What it says of itself.
     pub fn status(&self) -> RankStatus {
         RankStatus {
             incarnation: self.incarnation,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A barrier may rise, not fall below what has begun, and not undo a grant.
+    /// Sets the barrier unless its step has begun or lies at or before the start of the last grant.
     fn set_barrier(&mut self, step: Step) -> bool {
         let granted_past = self.grants.last().is_some_and(|(_, from)| *from >= step);
         if step <= self.begun || granted_past {
@@ -139,8 +139,7 @@
         if self.grants.last() == Some(&(map, step)) {
             return true;
         }
-        // A first grant may begin anywhere; a later one only where the barrier has
-        // kept the rank from going on.
+        // The first grant may begin at any step, a later one only at or after the barrier.
         let is_allowed = match (self.grants.last(), self.barrier) {
             (None, _) => true,
             (Some(_), Some(barrier)) => step >= barrier && step > self.begun,
@@ -156,7 +155,8 @@
         true
     }
 
-    /// Steps from the barrier up to the new grant are never run.
+    /// Drops earlier grants if the new one begins after the barrier, so that the steps between
+    /// are not run.
     fn skip(&mut self, barrier: Step, step: Step) {
         if step > barrier {
             self.grants.clear();
--- a/crates/mastweir-core/src/switch/subtrees.rs
+++ b/crates/mastweir-core/src/switch/subtrees.rs
@@ -1,43 +1,41 @@
-//! How a coordinator reaches the ranks of its group, and hears from them.
+//! Divides the ranks of a group into subtrees, through which the coordinator polls and orders them.
 //!
-//! In a small group it speaks to each rank itself. In a larger one the ranks of each hall
-//! are parted into subtrees; one rank of a subtree, its head, passes on what the
-//! coordinator says and sums up what the others answer. So the coordinator hears about as
-//! many messages as the square root of the group's ranks, and of what is counted one sum
-//! a subtree, which is all that matters. The heads are chosen anew each time, from those
-//! that answered last: nobody has to agree on them.
+//! In a small group the coordinator contacts each rank itself. In a larger one the ranks of each
+//! hall are divided into subtrees of about the square root of the group's size. One rank of each
+//! subtree, its aggregator, forwards polls and orders to the others and returns their summed
+//! answers, so that the coordinator handles one message per subtree. The coordinator chooses the
+//! aggregators anew for each poll from the ranks that answered recently; no agreement is needed.
 
 use crate::time::Uptime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
-/// Ranks up to which the coordinator speaks to each itself: one hop less, and as many
-/// messages as a group of 256 ranks has subtrees.
+/// Size of a group up to which the coordinator contacts each rank itself.
 const DIRECT_RANKS_MAX: usize = 16;
-/// A member that was not heard for this long is no head while another was: two polls.
+/// Members silent for this long become aggregators only if all others are; two poll periods.
 const AGGREGATOR_STALE_AFTER: Duration = Duration::from_millis(220);
-/// A head that did not answer for its subtree is passed over for this long.
+/// Time for which an aggregator that failed to answer is not chosen again.
 const AGGREGATOR_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A rank's server and what is known of the way to its sidecar.
+/// A rank's server, as the coordinator knows it.
 #[derive(Clone, Debug, Default)]
 pub struct GroupMember {
-    /// Its hall; empty if that is not known.
+    /// Empty if not known.
     pub hall: String,
-    /// When its sidecar was last heard, itself or through a head.
+    /// When its sidecar last answered, directly or through an aggregator.
     pub last_seen: Option<Uptime>,
-    /// When it last did not answer for its subtree.
+    /// When it last failed to answer as the aggregator of its subtree.
     pub last_failure: Option<Uptime>,
-    /// When the gateways, or itself, last said that it belongs to the group.
+    /// When a gateway or the member itself last reported that it belongs to the group.
     pub last_listed: Uptime,
 }
 
-/// The members of a group, by the address of their servers.
+/// Members of a group by the addresses of their servers.
 pub type GroupMembers = BTreeMap<SocketAddr, GroupMember>;
 
-/// GroupMembers whom the first of them answers for.
+/// Servers of a subtree, its aggregator first.
 pub type Subtree = Vec<SocketAddr>;
 
-/// Parts the members into subtrees, each with its head first.
+/// Divides the members into subtrees.
 pub fn subtrees(members: &GroupMembers, now: Uptime) -> Vec<Subtree> {
     let size = if members.len() <= DIRECT_RANKS_MAX {
         1
@@ -50,7 +48,7 @@
     }
     let mut subtrees = Vec::new();
     for hall in halls.into_values() {
-        // As many as are needed, of nearly equal size.
+        // The fewest subtrees that keep to the size, of nearly equal size.
         let count = hall.len().div_ceil(size);
         let each = hall.len().div_ceil(count);
         subtrees.extend(hall.chunks(each).map(|subtree| with_aggregator(subtree, members, now)));
@@ -58,7 +56,7 @@
     subtrees
 }
 
-/// A subtree with the member first that is the likeliest to answer.
+/// Returns the subtree with the member that is most likely to answer moved to the front.
 fn with_aggregator(subtree: &[SocketAddr], members: &GroupMembers, now: Uptime) -> Subtree {
     let unreliability = |addr: &&SocketAddr| {
         let member = &members[*addr];
