--- a/crates/mastweir-core/src/member/members.rs
+++ b/crates/mastweir-core/src/member/members.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether a member is alive.
-    pub fn is_present(&self, name: &str) -> bool {
+    pub fn is_alive(&self, name: &str) -> bool {
         matches!(self.state(name), Some(MemberState::Alive(_)))
     }
 
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -66,7 +66,7 @@
     let entries = view.of_role(InstanceRole::Entry);
     let near = entries.filter(|(_, spec)| spec.hall == shared.context.hall);
     let mut alive: Vec<&str> =
-        near.map(|(name, _)| name).filter(|name| members.is_present(name)).collect();
+        near.map(|(name, _)| name).filter(|name| members.is_alive(name)).collect();
     alive.push(own);
     let groups = view.of_role(InstanceRole::Server).filter_map(|(_, spec)| {
         (spec.hall == shared.context.hall).then_some(spec.group.as_ref()?.name.clone())
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -146,7 +146,7 @@
     let entries = view.of_role(InstanceRole::Entry);
     let peers = entries.filter(|(_, spec)| spec.hall == shared.context.hall);
     let mut alive: Vec<&str> =
-        peers.map(|(name, _)| name).filter(|name| members.is_present(name)).collect();
+        peers.map(|(name, _)| name).filter(|name| members.is_alive(name)).collect();
     alive.push(own);
     alive.sort_unstable();
     alive.dedup();
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -236,7 +236,7 @@
     let members = lock(&shared.members);
     let own = shared.context.name.as_str();
     let entries = view.of_role(InstanceRole::Entry);
-    let alive = entries.filter(|(name, _)| *name == own || members.is_present(name));
+    let alive = entries.filter(|(name, _)| *name == own || members.is_alive(name));
     let mut places: Vec<(&str, &str)> =
         alive.map(|(name, spec)| (spec.hall.as_str(), name)).collect();
     places.push((&shared.context.hall, own));
--- a/tests/testsuite/fuzz_lease.rs
+++ b/tests/testsuite/fuzz_lease.rs
@@ -165,5 +165,5 @@
         members.tick(now);
         members.on_heartbeat(&heard(1, 100), now);
     }
-    assert!(!members.is_present("e1"));
+    assert!(!members.is_alive("e1"));
 }
