--- a/crates/mastweir-core/src/experts/demand.rs
+++ b/crates/mastweir-core/src/experts/demand.rs
@@ -1,14 +1,18 @@
-//! Demand for experts, from counts that are late, noisy and have gaps.
+//! Long-term estimate of the demand for each expert.
+//!
+//! Counts arrive late, are noisy and may be missing. Each expert has two exponential
+//! averages. The slow one is the estimate; when the fast one differs from it by more than
+//! noise explains, demand has jumped, and the slow average is reset to the fast one.
 
-/// Weight of the newest counts in the fast and in the slow estimate.
+/// Weight of the newest count in the fast average, and in the slow one after a reset.
 const FAST_WEIGHT: f64 = 0.3;
 const SLOW_WEIGHT: f64 = 0.05;
-/// How fast the weight of the newest count falls back after a jump.
+/// Factor by which the weight in the slow average falls with each report, down to
+/// `SLOW_WEIGHT`.
 const WEIGHT_DECAY: f64 = 0.85;
-/// Relative difference of the two, in deviations, beyond which demand is taken
-/// to have jumped, and the slow one follows at once.
+/// Difference of the two averages that counts as a jump, in standard deviations.
 const JUMP_DEVIATIONS: f64 = 4.0;
-/// Counts below this are noise to the test for a jump.
+/// Lower bound of the variance in the test for a jump, for experts with few counts.
 const MIN_VARIANCE: f64 = 16.0;
 
 /// Estimated demand of one group's experts.
@@ -16,24 +20,23 @@
 pub struct Demand {
     fast: Vec<f64>,
     slow: Vec<f64>,
-    /// Weight of the newest count in the slow estimate: after a jump it falls
-    /// back step by step.
+    /// Weight of the next count in the slow average.
     weight: Vec<f64>,
-    /// Smoothed squared difference of a count to the slow estimate.
+    /// Smoothed squared difference of the counts from the slow average.
     variance: Vec<f64>,
     reports: u32,
 }
 
 impl Demand {
-    /// No counts yet, for so many experts.
+    /// Creates an estimate without any counts.
     pub fn new(experts: usize) -> Self {
         let zero = vec![0.0; experts];
         let weight = vec![FAST_WEIGHT; experts];
         Self { fast: zero.clone(), slow: zero.clone(), weight, variance: zero, reports: 0 }
     }
 
-    /// Takes one report's counts in. A report that is missing is not zero: it
-    /// is left out by the caller.
+    /// Adds the counts of one report. Callers leave out missing reports; they are not
+    /// counts of zero.
     pub fn add(&mut self, counts: &[f64]) {
         self.reports += 1;
         let first = self.reports == 1;
@@ -53,23 +56,24 @@
         }
     }
 
-    /// Demand by expert, in tokens a report.
+    /// Returns the demand by expert, in model tokens per report.
     pub fn by_expert(&self) -> &[f64] {
         &self.slow
     }
 
-    /// Variance of the estimate of an expert's demand.
+    /// Returns the variance of an expert's estimated demand.
     pub fn estimate_variance(&self, expert: usize) -> f64 {
         let weight = self.weight[expert];
         self.variance[expert] * weight / (2.0 - weight)
     }
 
-    /// Reports taken in.
+    /// Returns the number of reports added.
     pub const fn reports(&self) -> u32 {
         self.reports
     }
 
-    /// The smoothed fast estimate has the deviation of a count, times
+    /// Sets the slow average to the fast one if they differ by more than noise. The
+    /// deviation of the fast average is that of a count times
     /// `sqrt(FAST_WEIGHT / (2 - FAST_WEIGHT))`.
     fn reset_on_jump(&mut self, i: usize) {
         let noise = self.variance[i].max(self.slow[i]).max(MIN_VARIANCE).sqrt();
--- a/crates/mastweir-core/src/experts/greedy.rs
+++ b/crates/mastweir-core/src/experts/greedy.rs
@@ -1,12 +1,12 @@
-//! A placement from nothing: greedy replication, then greedy packing.
+//! Greedy placement that ignores the current one.
 //!
-//! As published for expert-parallel serving: spare slots go one by one to the
-//! expert with the largest load a copy, then copies are packed, largest first,
-//! on the least loaded rank that has room.
+//! The usual algorithm for expert-parallel serving: each spare slot goes to the expert with
+//! the highest load per copy; then the copies are packed, largest first, on the least
+//! loaded rank that has a free slot.
 
 use super::{Expert, Placement};
 
-/// The placement for a demand.
+/// Returns a placement for the demand of each expert.
 pub fn greedy_placement(demand: &[f64], ranks: usize, slots: usize) -> Placement {
     let copies = replicate(demand, ranks * slots);
     let part = |expert: Expert| demand[expert] / f64::from(copies[expert]);
@@ -28,7 +28,7 @@
     Placement::new(placed, demand.len())
 }
 
-/// Copies by expert, all slots used.
+/// Returns the number of copies by expert, using all slots.
 fn replicate(demand: &[f64], slots: usize) -> Vec<u32> {
     let mut copies = vec![1_u32; demand.len()];
     for _ in demand.len()..slots {
--- a/crates/mastweir-core/src/experts/layer_planner.rs
+++ b/crates/mastweir-core/src/experts/layer_planner.rs
@@ -1,19 +1,17 @@
-//! Plans for groups whose ranks have room for copies, over all sets of layers.
+//! Plans whole expert maps of a group, over all sets of layers.
 //!
-//! A pass lasts, set by set, as long as its most loaded rank. So a plan lowers the
-//! sum over the sets of that rank's load. Loading an expert takes a rank time,
-//! during which demand moves on; so a plan loads little: each number of steps is weighed
-//! by what they save in the time that is left of a horizon, less what their loads cost,
-//! and the next plan goes on from there. A group with slots to spare gains little from
-//! quicker passes: its pressure weighs the gain. A rank that is slow takes longer for the
-//! same load, and all wait for it, so its experts go to others: copied there, and then
-//! dropped, which costs no load.
+//! The time of a pass is the sum over the sets of the most loaded rank's load, so a plan
+//! lowers that sum. Loading an expert takes time and slows passes down, and demand moves on
+//! meanwhile. Each number of steps is therefore scored by the time saved within a horizon
+//! minus the cost of its loads. Where a group has slots for requests to spare, faster
+//! passes help little; `pressure` scales the gain. A slow rank takes longer for the same
+//! work, so its experts are copied to other ranks and then dropped from it, which needs no
+//! load.
 //!
-//! Steps are taken where they help most, first with one load a rank, then with more, and
-//! what is best_prefix is the part of them, from the first on, that is net_gain most. A plan for
-//! 96 ranks and 16 sets of 192 experts takes thousands of steps, so it can be made in
-//! parts ([`Planning::advance`]): a process that has a seventh of a core goes on with
-//! its heartbeats between them.
+//! The planner takes the best step of any set, first with one load per rank, then with
+//! larger budgets, and keeps the prefix of steps with the highest net gain. A plan for a
+//! large group takes thousands of steps. [`Planning::advance`] runs a few at a time, so
+//! that the sidecar can handle polls in between.
 
 use super::{
     Workload,
@@ -21,56 +19,54 @@
 };
 use crate::switch::map_change::GroupMap;
 
-/// Bounds and weights of plans.
+/// Limits and costs of plans.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LayerPlanner {
-    /// Experts that a rank holds in a set at most.
+    /// Slots per rank in a set.
     pub slots: usize,
-    /// Experts new to a rank in a set that one plan may bring.
+    /// Maximum number of experts per rank and set that one plan adds.
     pub max_new: usize,
-    /// Seconds that loading one expert takes a rank.
+    /// Seconds that a rank needs to load one expert.
     pub load_s: f64,
-    /// Seconds for which a plan is taken to help.
+    /// Seconds for which a plan is assumed to help.
     pub horizon_s: f64,
-    /// What loading one expert costs, in seconds of a pass at its mean load.
+    /// Cost of loading one expert, in seconds of passes at mean load.
     pub load_cost: f64,
-    /// What a change of map costs besides, in the same.
+    /// Fixed cost of a change of map, in the same unit.
     pub change_cost: f64,
-    /// Part by which passes are slower while a rank loads.
+    /// Relative increase of the pass time while a rank loads.
     pub load_slowdown: f64,
 }
 
-/// A map, and what it is expected to do.
+/// A map and its expected effect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerPlan {
-    /// The map.
     pub map: GroupMap,
-    /// Most loads at one rank.
+    /// Highest number of loads at one rank.
     pub max_loads: usize,
     /// Loads at all ranks.
     pub total_loads: usize,
-    /// Sum over the sets of the most loaded rank's load over the mean, before.
+    /// Mean skew over the sets before the change.
     pub skew_before: f64,
-    /// And after, per set on average.
+    /// Mean skew over the sets after the change.
     pub skew_after: f64,
 }
 
-/// Loads at one rank that are tried, one behind the other. Experts of large groups are
-/// small: 32 of them, two in each of 16 sets, load in 0.6 s.
+/// Limits on the loads per rank, tried in this order.
 const LOAD_BUDGETS: [usize; 8] = [1, 2, 3, 5, 8, 12, 20, 32];
-/// Steps in a row that make a plan no better, a rank and beside that, after which more
-/// loads at a rank are tried: so many ranks may be equally loaded.
+/// Steps without a better plan after which the next budget is tried: a fixed number, and
+/// some per rank, since many ranks may be equally loaded.
 const FUTILE_STEPS_PER_RANK: usize = 1;
 const MIN_FUTILE_STEPS: usize = 32;
 
-/// Mean skew over the sets: the most loaded rank over the mean at the usual slowdown.
+/// Returns the mean skew over the sets: the load of the slowest rank over the mean load.
 pub fn mean_skew(map: &GroupMap, work: Workload<'_>) -> f64 {
     let sets = map.iter().zip(work.demand);
     let sum: f64 = sets.map(|(ranks, demand)| layer_set::skew(ranks, demand, work)).sum();
     sum / map.len().max(1) as f64
 }
 
-/// What the first steps of a plan come to.
+/// Totals of the first `steps` steps of a plan.
 #[derive(Clone, Copy, Debug)]
 struct Prefix {
     steps: usize,
@@ -80,7 +76,7 @@
     net_gain: f64,
 }
 
-/// A plan that is being made.
+/// A plan in progress.
 pub struct Planning<'a> {
     planner: LayerPlanner,
     pressure: f64,
@@ -92,17 +88,16 @@
     loads_used: Vec<usize>,
     total_loads: usize,
     steps: Vec<(usize, Step)>,
-    /// Place in [`LOAD_BUDGETS`].
+    /// Index into [`LOAD_BUDGETS`].
     budget_index: usize,
-    /// Best prefix so far, and before the present level.
     best_prefix: Option<Prefix>,
     previous_gain: f64,
-    /// Steps since a better one.
+    /// Steps since the best prefix.
     futile_steps: usize,
 }
 
 impl<'a> Planning<'a> {
-    /// Begins a plan from a map on. `pressure` is what a quicker pass is net_gain, 0 to 1.
+    /// Starts a plan from `map`. `pressure` is the value of faster passes, 0 to 1.
     pub fn new(
         planner: LayerPlanner,
         map: &'a GroupMap,
@@ -135,7 +130,7 @@
         planning
     }
 
-    /// Takes some steps. True once there are no more that help.
+    /// Takes at most `steps` steps. Returns true once the plan is complete.
     pub fn advance(&mut self, steps: usize) -> bool {
         for _ in 0..steps {
             if self.budget_index >= LOAD_BUDGETS.len() {
@@ -148,7 +143,7 @@
         self.budget_index >= LOAD_BUDGETS.len()
     }
 
-    /// The plan, if one is net_gain it.
+    /// Returns the plan; `None` if no change is worth its cost.
     pub fn finish(self) -> Option<LayerPlan> {
         let best_prefix = self.best_prefix?;
         let mut map = self.map.clone();
@@ -164,7 +159,8 @@
         })
     }
 
-    /// Takes the step that helps most; false if none does, or none did for long.
+    /// Takes the best step. Returns false if there is none, or if recent steps did not
+    /// improve the plan.
     fn step(&mut self) -> bool {
         let gain = |at: &usize| self.best[*at].as_ref().map_or(0.0, |step| step.gain);
         let at = (0..self.sets.len()).max_by(|a, b| gain(a).total_cmp(&gain(b)));
@@ -191,7 +187,7 @@
         self.futile_steps <= MIN_FUTILE_STEPS + FUTILE_STEPS_PER_RANK * self.loads_used.len()
     }
 
-    /// Allows more loads at a rank, unless those before were of no use.
+    /// Continues with the next budget, or ends the plan if the last one did not improve it.
     fn raise_budget(&mut self) {
         let net_gain = self.best_prefix.map_or(0.0, |prefix| prefix.net_gain);
         let is_first = self.budget_index == 0;
@@ -199,8 +195,11 @@
         self.previous_gain = net_gain;
         self.futile_steps = 0;
         self.budget_index += 1;
-        let late = |loads: &usize| *loads as f64 * self.planner.load_s >= self.planner.horizon_s;
-        if (was_futile && !is_first) || LOAD_BUDGETS.get(self.budget_index).is_none_or(late) {
+        let exceeds_horizon =
+            |loads: &usize| *loads as f64 * self.planner.load_s >= self.planner.horizon_s;
+        if (was_futile && !is_first)
+            || LOAD_BUDGETS.get(self.budget_index).is_none_or(exceeds_horizon)
+        {
             self.budget_index = LOAD_BUDGETS.len();
             return;
         }
@@ -221,13 +220,13 @@
         self.best[at] = self.sets[at].best_step(limits);
     }
 
-    /// Keeps the steps so far if no fewer are net_gain more.
+    /// Records the steps so far if their net gain is the highest yet.
     fn score_prefix(&mut self) {
         let skew = self.skews.iter().sum::<f64>() / self.skews.len().max(1) as f64;
         let loads = self.loads_used.iter().copied().max().unwrap_or(0);
-        let late = loads as f64 * self.planner.load_s;
-        let saved = (self.skew_before - skew) * (self.planner.horizon_s - late).max(0.0);
-        let slowed = self.planner.load_slowdown * self.skew_before * late;
+        let load_time = loads as f64 * self.planner.load_s;
+        let saved = (self.skew_before - skew) * (self.planner.horizon_s - load_time).max(0.0);
+        let slowed = self.planner.load_slowdown * self.skew_before * load_time;
         let cost = self.planner.load_cost * self.total_loads as f64 + self.planner.change_cost;
         let net_gain = self.pressure * (saved - slowed) - cost;
         if net_gain > self.best_prefix.map_or(0.0, |prefix| prefix.net_gain) {
@@ -241,8 +240,8 @@
 }
 
 impl LayerPlanner {
-    /// The best plan from a map on, if one is net_gain it, at once. `pressure` is what a
-    /// quicker pass is net_gain, 0 to 1.
+    /// Makes a whole plan at once; `None` if no change is worth its cost. `pressure` is the
+    /// value of faster passes, 0 to 1.
     pub fn plan(&self, map: &GroupMap, work: Workload<'_>, pressure: f64) -> Option<LayerPlan> {
         let mut planning = Planning::new(*self, map, work, pressure);
         while !planning.advance(usize::MAX) {}
--- a/crates/mastweir-core/src/experts/layer_set.rs
+++ b/crates/mastweir-core/src/experts/layer_set.rs
@@ -1,44 +1,41 @@
-//! One set of layers while a plan is made: who holds what, and what each rank carries.
+//! One set of layers during planning: which ranks hold which experts, and their loads.
 //!
-//! A step touches the ranks that hold the expert that it copies or drops, and those
-//! that hold what makes limits. What it does to the most loaded rank follows from these
-//! and from the few most loaded others, so that weighing one costs the same in a group
-//! of 8 ranks and of 512.
+//! A step only changes the loads of the ranks that hold the copied, evicted or dropped
+//! experts. The new maximum follows from these and from a short list of the most loaded
+//! ranks, so that the cost of evaluating a step does not grow with the size of the group.
 
-/// Most loaded ranks that are kept in order: a step lowers a few of them at once, those
-/// that share an expert.
+/// Number of most loaded ranks kept in order. A step may lower several of them at once.
 const TOP_RANKS: usize = 8;
-/// Ranks that may get a copy, in each step: the least loaded ones. With 12 instead of 6
-/// a plan for 96 ranks is as good and takes 1.7 times as long.
+/// Number of least loaded ranks considered as targets of a copy.
 const TARGET_RANKS: usize = 6;
-/// Least gain of a step, in mean loads: of a copy, anything but rounding; of a drop,
-/// more, since a copy that is gone has to be loaded again when demand shifts.
+/// Minimum gain of a copy, in mean loads; excludes rounding errors.
 const MIN_COPY_GAIN: f64 = 1e-6;
+/// Minimum gain of a drop, in mean loads. Higher, since a dropped copy has to be loaded again when
+/// demand shifts.
 const MIN_DROP_GAIN: f64 = 0.02;
-/// Part of what a rank is lowered by that counts where others are loaded as much.
+/// Weight of lowering the most loaded rank while another is equally loaded.
 const TIE_WEIGHT: f64 = 0.05;
 
-/// What a map has to carry.
+/// Demand that a map has to serve, and the speed of the ranks.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload<'a> {
     /// Demand by set and expert.
     pub demand: &'a [Vec<f64>],
-    /// Time that each rank takes for the same work, over what is usual: 1 where
-    /// nothing else is known.
+    /// Time per work of each rank over the usual; 1 where the slice ends earlier.
     pub slowdown: &'a [f64],
 }
 
-/// A change of a set at one rank.
+/// A change of one set at one rank.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Step {
-    /// An expert is loaded at a rank, in place of another where it has no limits.
+    /// Loads an expert at a rank, in place of another if no slot is free.
     Copy { to: usize, expert: u16, evict: Option<u16> },
-    /// A rank gives up an expert that others hold, too.
+    /// Removes an expert that other ranks hold, too.
     Drop { from: usize, expert: u16 },
 }
 
 impl Step {
-    /// Carries it out on the experts by rank.
+    /// Applies the step to the experts by rank.
     pub(super) fn apply(self, ranks: &mut [Vec<u16>]) {
         match self {
             Self::Copy { to, expert, evict } => {
@@ -50,7 +47,7 @@
     }
 }
 
-/// A step, and what it gains in mean loads.
+/// A step and its gain in mean loads.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScoredStep {
     pub(super) step: Step,
@@ -58,26 +55,25 @@
 }
 
 impl ScoredStep {
-    /// Whether it loads an expert at that rank.
+    /// Returns whether the step loads an expert at `rank`.
     pub(super) fn loads_at(&self, rank: Option<usize>) -> bool {
         matches!(self.step, Step::Copy { to, .. } if Some(to) == rank)
     }
 }
 
-/// What a step may use.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StepLimits<'a> {
-    /// Experts that a rank holds at most.
+    /// Slots per rank.
     pub(super) slots: usize,
-    /// Experts new to a rank that one plan may bring.
+    /// Maximum number of experts per rank that one plan adds.
     pub(super) max_new: usize,
-    /// Loads at each rank so far, over all sets.
+    /// Loads of each rank in the plan so far, over all sets.
     pub(super) loads_used: &'a [usize],
-    /// Loads at a rank at most.
+    /// Maximum number of loads per rank.
     pub(super) budget: usize,
 }
 
-/// LoadChanges of load by rank, of one step.
+/// Load changes of one step, by rank.
 type LoadChanges = Vec<(usize, f64)>;
 
 pub(super) struct LayerSet<'a> {
@@ -85,10 +81,10 @@
     slowdown: &'a [f64],
     initial: &'a [Vec<u16>],
     ranks: Vec<Vec<u16>>,
-    /// Ranks that hold an expert.
+    /// Ranks by expert.
     holders: Vec<Vec<usize>>,
     loads: Vec<f64>,
-    /// Loads that the plan so far brings each rank.
+    /// Experts that the plan adds, by rank.
     new_experts: Vec<usize>,
     mean: f64,
 }
@@ -116,7 +112,7 @@
         set
     }
 
-    /// Time that a rank takes for its part.
+    /// Returns the time that a rank takes for its experts.
     fn load(&self, rank: usize) -> f64 {
         let parts: f64 = self.ranks[rank].iter().map(|expert| self.copy_load(*expert)).sum();
         parts * self.slowdown(rank)
@@ -130,7 +126,7 @@
         self.copy_load_of(expert, self.copies(expert))
     }
 
-    /// What one of so many copies gets.
+    /// Returns the load of each copy if there are `copies` of the expert.
     fn copy_load_of(&self, expert: u16, copies: usize) -> f64 {
         self.demand[usize::from(expert)] / copies.max(1) as f64
     }
@@ -139,13 +135,13 @@
         self.holders[usize::from(expert)].len()
     }
 
-    /// The most loaded rank over the mean.
+    /// Returns the maximum load over the mean load.
     pub(super) fn skew(&self) -> f64 {
         let most = self.loads.iter().copied().fold(0.0, f64::max);
         if self.mean > 0.0 { most / self.mean } else { 1.0 }
     }
 
-    /// The most loaded ranks, in order.
+    /// Returns the most loaded ranks, highest first.
     fn most_loaded(&self) -> Vec<usize> {
         let mut top: Vec<usize> = Vec::with_capacity(TOP_RANKS + 1);
         for (rank, load) in self.loads.iter().enumerate() {
@@ -158,7 +154,7 @@
         top
     }
 
-    /// The least loaded ranks that may load another expert.
+    /// Returns the least loaded ranks that may load another expert.
     fn least_loaded(&self, limits: StepLimits<'_>) -> Vec<usize> {
         let mut targets: Vec<usize> = Vec::with_capacity(TARGET_RANKS + 1);
         for (rank, load) in self.loads.iter().enumerate() {
@@ -179,7 +175,7 @@
         self.ranks[rank].contains(&expert)
     }
 
-    /// How a step changes the loads of the ranks that it touches.
+    /// Computes how a step changes the loads of the affected ranks.
     fn load_changes(&self, step: Step, changes: &mut LoadChanges) {
         changes.clear();
         match step {
@@ -193,7 +189,8 @@
         }
     }
 
-    /// A rank gives up an expert, and the others that hold it take its part.
+    /// Adds the changes of removing an expert from a rank: the other holders take over its
+    /// load.
     fn drop_changes(&self, expert: u16, from: usize, changes: &mut LoadChanges) {
         add(changes, from, -self.copy_load(expert) * self.slowdown(from));
         self.reshare_changes(
@@ -204,14 +201,15 @@
         );
     }
 
-    /// All holders of an expert but one get another part of it.
+    /// Adds the changes for all holders except one when each copy gets the load `part`.
     fn reshare_changes(&self, expert: u16, except: usize, part: f64, changes: &mut LoadChanges) {
         let change = part - self.copy_load(expert);
         let others = self.holders[usize::from(expert)].iter().filter(|rank| **rank != except);
         others.for_each(|rank| add(changes, *rank, change * self.slowdown(*rank)));
     }
 
-    /// What can go from a rank to make limits: the copy that is missed least.
+    /// Returns the redundant expert whose removal from the rank moves the least load to
+    /// other ranks.
     fn eviction_candidate(&self, rank: usize, except: u16) -> Option<u16> {
         let spare = self.ranks[rank]
             .iter()
@@ -245,7 +243,7 @@
         self.update_loads(expert);
     }
 
-    /// Loads of the ranks that hold an expert, anew.
+    /// Recomputes the loads of the ranks that hold an expert.
     fn update_loads(&mut self, expert: u16) {
         for at in 0..self.holders[usize::from(expert)].len() {
             let rank = self.holders[usize::from(expert)][at];
@@ -253,7 +251,7 @@
         }
     }
 
-    /// The step that lowers the most loaded rank most, over the mean.
+    /// Returns the step that lowers the maximum load most.
     pub(super) fn best_step(&self, limits: StepLimits<'_>) -> Option<ScoredStep> {
         let top = self.most_loaded();
         let peak = *top.first()?;
@@ -268,13 +266,13 @@
                 self.loads[rank] + change.map_or(0.0, |(_, change)| *change)
             };
             let untouched = |rank: &&usize| !changes.iter().any(|(changed, _)| changed == *rank);
-            // Where all of the top are touched, the last of them bounds the others.
+            // If all of the top ranks are affected, the last of them bounds the load of the
+            // others.
             let others = top.iter().find(untouched).or(top.last());
             let others = others.map_or(0.0, |rank| self.loads[*rank]);
             let touched = changes.iter().map(|(rank, change)| self.loads[*rank] + change);
             let peak_after = touched.fold(others, f64::max);
-            // Where two ranks are equally loaded, lowering one of them only
-            // prepares the next step.
+            // Lowering one of several equally loaded ranks only prepares the next step.
             let lowered = (most - after(peak)).min(most - second.min(most)).max(0.0);
             let gain = (most - peak_after + TIE_WEIGHT * lowered) / mean;
             if gain > min_gain && best.is_none_or(|best| gain > best.gain) {
@@ -305,7 +303,7 @@
     }
 }
 
-/// Skew of a set under a map, without what a plan needs besides.
+/// Returns the skew of a set under a map.
 pub(super) fn skew(ranks: &[Vec<u16>], demand: &[f64], work: Workload<'_>) -> f64 {
     let mut copies = vec![0_u32; demand.len()];
     ranks.iter().flatten().for_each(|expert| copies[usize::from(*expert)] += 1);
--- a/crates/mastweir-core/src/experts/mod.rs
+++ b/crates/mastweir-core/src/experts/mod.rs
@@ -1,15 +1,14 @@
-//! When to move an expert, and where to.
+//! Placement of experts on the ranks of a group.
 //!
-//! All ranks of a group go at the pace of the slowest, so a popular expert holds
-//! the group back. Moving or copying one costs bytes from the rate-limited
-//! weight store and disturbs the group. The planner ([`Planner`]) estimates
-//! demand from lagged and noisy counts ([`Demand`]), looks for the few changes
-//! that help most, and makes them only if what they save over a horizon is
-//! worth more than they cost; one setting, [`PlannerConfig`], says how much more.
+//! All ranks of a group run in lock-step, so that the most loaded rank determines the time
+//! of a pass. Copying or moving an expert to a less loaded rank costs a load of its weights
+//! and slows the group down meanwhile. The planners here change a placement only where the
+//! expected saving exceeds that cost.
 //!
-//! [`greedy_placement`] is the baseline that is published for expert-parallel serving: a
-//! fresh placement by greedy replication and packing, without regard to what is
-//! where already.
+//! - [`layer_planner`] plans whole maps, over all sets of layers, from the
+//!   [`recent_demand`] that ranks report. The coordinating sidecar of a group uses it.
+//! - [`Planner`] plans a few slot changes from a long-term [`Demand`] estimate, and
+//!   [`greedy_placement`] ignores the current placement. Benchmarks compare the two.
 
 mod demand;
 mod greedy;
@@ -25,7 +24,7 @@
 pub use placement::{Placement, SlotChange, skew};
 pub use planner::{Decision, PlanReason, Planner, PlannerConfig};
 
-/// Number of an expert in its layer.
+/// Index of an expert in its layer.
 pub type Expert = usize;
-/// Number of a rank in its group.
+/// Index of a rank in its group.
 pub type RankNumber = usize;
--- a/crates/mastweir-core/src/experts/placement.rs
+++ b/crates/mastweir-core/src/experts/placement.rs
@@ -1,20 +1,16 @@
-//! Which rank holds which experts, and what load that makes.
+//! Which rank holds which experts, and the load that results from a demand.
 
 use super::{Expert, RankNumber};
 
-/// A change of one slot.
+/// Loading an expert into one slot of a rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotChange {
-    /// The rank.
     pub rank: RankNumber,
-    /// The slot on it.
     pub slot: usize,
-    /// The expert that is to be loaded there.
     pub expert: Expert,
 }
 
-/// Experts by rank and slot. An expert may stand on several ranks, which share
-/// its load evenly.
+/// Experts by rank and slot. All copies of an expert share its load evenly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     slots: Vec<Vec<Expert>>,
@@ -22,42 +18,43 @@
 }
 
 impl Placement {
-    /// A placement from experts by rank and slot.
+    /// Creates a placement from the experts by rank and slot.
     pub fn new(slots: Vec<Vec<Expert>>, experts: usize) -> Self {
         let mut copies = vec![0; experts];
         slots.iter().flatten().for_each(|expert| copies[*expert] += 1);
         Self { slots, copies }
     }
 
-    /// Experts in order over the ranks; slots left over repeat the first ones.
+    /// Assigns experts to slots in order of their numbers, starting over when slots are
+    /// left.
     pub fn sequential(experts: usize, ranks: usize, slots: usize) -> Self {
         let expert = |place| place % experts;
         let rank = |rank| (0..slots).map(|slot| expert(rank * slots + slot)).collect();
         Self::new((0..ranks).map(rank).collect(), experts)
     }
 
-    /// Experts by rank and slot.
+    /// Returns the experts by rank and slot.
     pub fn slots(&self) -> &[Vec<Expert>] {
         &self.slots
     }
 
-    /// Ranks that hold an expert, each counted as often as it does.
+    /// Returns the number of slots that hold an expert.
     pub fn copies(&self, expert: Expert) -> u32 {
         self.copies[expert]
     }
 
-    /// Load of one copy of an expert.
+    /// Returns the load of one copy of an expert.
     pub fn copy_load(&self, expert: Expert, demand: &[f64]) -> f64 {
         demand[expert] / f64::from(self.copies[expert].max(1))
     }
 
-    /// Load by rank.
+    /// Returns the load by rank.
     pub fn loads(&self, demand: &[f64]) -> Vec<f64> {
         let load = |experts: &Vec<Expert>| experts.iter().map(|e| self.copy_load(*e, demand)).sum();
         self.slots.iter().map(load).collect()
     }
 
-    /// Makes a change. The expert that stood there must stand elsewhere too.
+    /// Applies a change. The replaced expert must have another copy.
     pub fn apply(&mut self, change: SlotChange) {
         let slot = &mut self.slots[change.rank][change.slot];
         self.copies[*slot] -= 1;
@@ -65,8 +62,8 @@
         *slot = change.expert;
     }
 
-    /// Slots that hold another expert in `other`, without regard to their order
-    /// on a rank: what would have to be loaded.
+    /// Returns the number of experts to load to get to `other`. The order of slots within a
+    /// rank does not matter.
     pub fn loads_needed(&self, other: &Self) -> usize {
         let pairs = self.slots.iter().zip(&other.slots);
         pairs.map(|(from, to)| missing(from, to)).sum()
@@ -85,7 +82,7 @@
     to.iter().filter(is_missing).count()
 }
 
-/// The slowest rank's load over the mean.
+/// Returns the maximum load over the mean load; 1 without any load.
 pub fn skew(loads: &[f64]) -> f64 {
     let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
     let most = loads.iter().copied().fold(0.0, f64::max);
--- a/crates/mastweir-core/src/experts/planner.rs
+++ b/crates/mastweir-core/src/experts/planner.rs
@@ -1,24 +1,28 @@
-//! Few changes, and only where they pay.
+//! Planner that makes a few slot changes at a time.
+//!
+//! It adds the best next change step by step and keeps the number of changes with the
+//! highest net gain. It changes nothing if the gain is within the error of the demand
+//! estimate.
 
 use super::{Demand, Placement, SlotChange, skew};
 
-/// How much step-time skew weighs against the cost of rebalancing.
+/// Weights step-time skew against the cost of rebalancing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerConfig {
-    /// Seconds for which a saving is taken to last.
+    /// Seconds for which a saving is assumed to last.
     pub horizon_s: f64,
-    /// Seconds of a group's time that loading one expert is worth.
+    /// Cost of loading one expert, in seconds of the group's time.
     pub load_cost_s: f64,
-    /// Skew to min_skew: below it nothing is done.
+    /// Skew up to which no change is made.
     pub min_skew: f64,
-    /// Changes at once at most.
+    /// Maximum number of changes per plan.
     pub max_changes: usize,
     /// Standard errors of the estimate that a saving has to exceed.
     pub confidence: f64,
 }
 
 impl PlannerConfig {
-    /// For a deployment that weighs skew more.
+    /// For deployments that prefer low skew.
     pub const LOW_SKEW: Self = Self {
         horizon_s: 60.0,
         load_cost_s: 0.12,
@@ -26,7 +30,7 @@
         max_changes: 12,
         confidence: 2.5,
     };
-    /// For a deployment that weighs the cost of rebalancing more.
+    /// For deployments that prefer few loads.
     pub const LOW_COST: Self =
         Self { horizon_s: 60.0, load_cost_s: 0.9, min_skew: 1.05, max_changes: 6, confidence: 3.0 };
 }
@@ -34,28 +38,27 @@
 /// Why a plan was made or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlanReason {
-    /// Worthwhile its cost.
+    /// The changes save more than they cost.
     Worthwhile,
-    /// The group is even enough.
+    /// The skew is too small to act on.
     Balanced,
-    /// No change saves what it costs.
+    /// No change saves more than it costs, or than the error of the estimate.
     TooCostly,
-    /// Too few reports, or a gap in them.
+    /// Too few reports were counted.
     InsufficientData,
-    /// A rank is stalled: what looks like skew is not.
+    /// A rank is stalled, or reports are missing, so that the measured skew is not
+    /// reliable.
     Stalled,
 }
 
-/// A placement decision, for the log line too.
+/// The changes to make, and why.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// Why.
     pub reason: PlanReason,
-    /// Skew under the present placement, as estimated.
+    /// Estimated skew of the current placement.
     pub skew_before: f64,
-    /// Skew after the changes, as estimated.
+    /// Estimated skew after the changes.
     pub skew_after: f64,
-    /// The changes.
     pub changes: Vec<SlotChange>,
 }
 
@@ -65,17 +68,16 @@
     config: PlannerConfig,
 }
 
-/// Reports before the first plan.
+/// Reports needed before the first plan.
 const REPORTS_MIN: u32 = 24;
 
 impl Planner {
-    /// A planner under a config.
     pub const fn new(config: PlannerConfig) -> Self {
         Self { config }
     }
 
-    /// Plans from the demand and the present placement. `stalled`: a rank makes
-    /// no progress, or reports are missing.
+    /// Plans changes of the current placement. `stalled` means that a rank makes no
+    /// progress or that reports are missing.
     pub fn plan(&self, demand: &Demand, placement: &Placement, stalled: bool) -> Decision {
         let by_expert = demand.by_expert();
         let skew_before = skew(&placement.loads(by_expert));
@@ -92,16 +94,16 @@
             return nothing(PlanReason::Balanced);
         }
         let (changes, skew_after) = self.search(by_expert, placement, skew_before);
-        // The slowest rank is the one whose estimate is furthest up by chance.
+        // The maximum of noisy estimates is biased upwards, so small savings are ignored.
         if changes.is_empty() || skew_before - skew_after < noise {
             return nothing(PlanReason::TooCostly);
         }
         Decision { reason: PlanReason::Worthwhile, skew_before, skew_after, changes }
     }
 
-    /// Adds changes one by one, each the best next one, and keeps the prefix
-    /// with the largest net gain: a second change may be what makes the first
-    /// one pay.
+    /// Adds the best next change until none is left, and returns the prefix with the
+    /// highest net gain. A change that does not pay alone may pay together with the next
+    /// one.
     fn search(&self, demand: &[f64], from: &Placement, skew_before: f64) -> (Vec<SlotChange>, f64) {
         let mut placement = from.clone();
         let mut changes: Vec<SlotChange> = Vec::new();
@@ -123,18 +125,19 @@
         (changes, best.2)
     }
 
-    /// Seconds saved over the horizon: a group's time goes with its skew.
+    /// Returns the seconds saved over the horizon; the time of a pass is proportional to
+    /// the skew.
     fn gain(&self, before: f64, after: f64) -> f64 {
         self.config.horizon_s * (before - after) / before
     }
 
-    /// Seconds that the loads are worth.
+    /// Returns the cost of the loads, in seconds of the group's time.
     fn cost(&self, changes: usize) -> f64 {
         self.config.load_cost_s * changes as f64
     }
 }
 
-/// Standard error of the slowest rank's load, over the mean load.
+/// Returns the standard error of the most loaded rank's load, over the mean load.
 fn peak_load_error(demand: &Demand, placement: &Placement) -> f64 {
     let loads = placement.loads(demand.by_expert());
     let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
@@ -146,22 +149,22 @@
     placement.slots()[slowest].iter().map(part).sum::<f64>().sqrt() / mean
 }
 
-/// The change that lowers the slowest rank most: another copy of one of its
-/// experts, in the place of a copy that is not needed elsewhere, or a swap of
-/// one of its experts against a smaller one.
+/// Returns the step that lowers the most loaded rank most: a copy of one of its experts in
+/// place of a redundant copy elsewhere, or a swap of one of its experts for a less loaded
+/// one.
 fn best_step(demand: &[f64], placement: &Placement) -> Option<Vec<SlotChange>> {
     let loads = placement.loads(demand);
     let slowest = (0..loads.len()).max_by(|a, b| loads[*a].total_cmp(&loads[*b]))?;
     let copies = copy_steps(demand, placement, slowest);
     let swaps = swap_steps(demand, placement, slowest, &loads);
-    // A swap takes two loads, so it has to be twice as good.
+    // A swap takes two loads, so the score is per load.
     let score = |step: &Vec<SlotChange>| {
         let mut next = placement.clone();
         step.iter().for_each(|change| next.apply(*change));
         let after = next.loads(demand);
         let most = after.iter().copied().fold(0.0, f64::max);
-        // Among steps that leave another rank the slowest, the one that lowers
-        // this rank more is better.
+        // If another rank remains the most loaded one, prefers the step that lowers this
+        // rank more.
         let lowered = loads[slowest] - after[slowest].min(loads[slowest]);
         (loads[slowest] - most + lowered * 1e-3) / step.len() as f64
     };
@@ -170,7 +173,7 @@
     (best > 0.0).then_some(step)
 }
 
-/// Ranks that are looked at as targets: the least loaded ones.
+/// Number of least loaded ranks considered for swaps.
 const SWAP_TARGETS: usize = 6;
 
 fn least_loaded(loads: &[f64], except: usize) -> Vec<usize> {
@@ -187,7 +190,7 @@
         if rank == slowest {
             continue;
         }
-        // The spare copy whose loss shifts the least load.
+        // The redundant copy whose removal moves the least load to other ranks.
         let spare = (0..experts.len()).filter(|slot| placement.copies(experts[*slot]) > 1);
         let shift = |slot: &usize| {
             let expert = experts[*slot];
--- a/crates/mastweir-core/src/experts/recent_demand.rs
+++ b/crates/mastweir-core/src/experts/recent_demand.rs
@@ -1,30 +1,28 @@
-//! Demand of the last moments, for plans that follow fast shifts.
+//! Short-term estimate of the demand for experts, for groups whose popular experts change
+//! within seconds.
 //!
-//! Two estimates decay at different rates. The slow one is what plans use; when
-//! the fast one differs from it by more than noise, popularity has shifted, and
-//! both begin anew: nothing that was counted before is of use.
+//! Selections are counted by set of layers and expert in two exponentially decaying sums.
+//! The slow one is the estimate. When the distribution of the fast one differs from it by
+//! more than noise explains, demand has shifted, and both are reset, because older counts
+//! no longer apply.
 
 use crate::time::Uptime;
 use std::time::Duration;
 
-/// Weights fall to 1/e in this time: the slow estimate averages enough choices
-/// to tell experts distance, the fast one is mostly the last report of each rank. With
-/// 0.25 s a shift is noticed 0.1 s later and 0.6 in 100 more streams are late (means
-/// of 15 simulated days).
+/// Seconds in which the weight of a count falls to 1/e. The slow sum covers enough
+/// selections to tell experts apart; the fast one is mostly the last report of each rank.
 const SLOW_DECAY_S: f64 = 1.0;
 const FAST_DECAY_S: f64 = 0.12;
-/// Choices a set that a plan needs.
+/// Selections per set needed for a plan.
 const MIN_SELECTIONS: f64 = 300.0;
-/// Part of the time between two rounds of reports behind a shift in which what is counted
-/// does not decide: the reports that show it are partly from before it. A plan from
-/// them left a skew of 2 where one from the next round leaves 1.5.
+/// Part of a report interval after a shift during which counts are partly from before it.
 const MIXED_FRACTION: f64 = 0.8;
-/// Distance of the two distributions, 0 to 2, beyond which popularity has
-/// shifted: this, and as much as noise gives.
+/// Distance of the two distributions (0 to 2) that counts as a shift, in addition to the
+/// expected noise.
 const MIN_SHIFT_DISTANCE: f64 = 0.25;
 const NOISE_FACTOR: f64 = 1.0;
-/// Part of a set's demand that is spread over all its experts: one that was not
-/// chosen lately may be chosen next.
+/// Part of a set's demand spread evenly over its experts, so that an expert without recent
+/// selections is not assumed to be idle.
 const UNIFORM_FRACTION: f64 = 0.1;
 
 #[derive(Clone, Debug)]
@@ -48,21 +46,21 @@
     }
 }
 
-/// Choices by set and expert, the older ones fading.
+/// Recent selections by set and expert.
 #[derive(Clone, Debug)]
 pub struct RecentDemand {
     experts: usize,
     slow: DecayingCounts,
     fast: DecayingCounts,
     shifts: u32,
-    /// Time between two rounds of reports.
     report_interval: Duration,
-    /// Until then, what is counted is partly from before the last shift.
+    /// End of the time in which counts are partly from before the last shift.
     mixed_until: Uptime,
 }
 
 impl RecentDemand {
-    /// Nothing counted yet, of ranks that report so often.
+    /// Creates an estimate without any counts, for ranks that report once per
+    /// `report_interval`.
     pub fn new(sets: usize, experts: usize, report_interval: Duration) -> Self {
         let len = sets * experts;
         let experts = experts.max(1);
@@ -76,7 +74,7 @@
         }
     }
 
-    /// Adds counts, one set behind the other, that begin at `from`.
+    /// Adds counts of consecutive experts, set after set, from the flat index `from` on.
     pub fn add(&mut self, from: usize, counts: &[u32], now: Uptime) {
         self.slow.add(from, counts, now);
         self.fast.add(from, counts, now);
@@ -88,23 +86,23 @@
         }
     }
 
-    /// Shifts seen so far.
+    /// Returns the number of shifts detected so far.
     pub const fn shifts(&self) -> u32 {
         self.shifts
     }
 
-    /// Whether enough was counted, and not before a shift.
+    /// Returns whether enough selections were counted since the last shift for a plan.
     pub fn is_ready(&self, now: Uptime) -> bool {
         if now < self.mixed_until {
             return false;
         }
-        // Sets are counted in turn in large groups: one that was not yet would be planned
-        // as if nothing in it were popular.
+        // Large groups report their sets in turn. A set without counts would be planned as
+        // if it had no demand.
         let mut sets = self.slow.weights.chunks(self.experts);
         sets.all(|set| set.iter().sum::<f64>() > MIN_SELECTIONS)
     }
 
-    /// Demand by set and expert.
+    /// Returns the demand by set and expert.
     pub fn by_set(&self) -> Vec<Vec<f64>> {
         let sets = self.slow.weights.chunks(self.experts);
         sets.map(|set| {
@@ -114,21 +112,21 @@
         .collect()
     }
 
-    /// Whether the two estimates differ by more than noise, over all sets.
+    /// Returns whether the two distributions differ by more than noise, over all sets.
     fn has_shifted(&self) -> bool {
         let slow = self.slow.weights.chunks(self.experts);
         let pairs = slow.zip(self.fast.weights.chunks(self.experts));
         let (mut distance, mut noise, mut sets) = (0.0, 0.0, 0.0);
         for (slow, fast) in pairs {
-            let (all, few) = (slow.iter().sum::<f64>(), fast.iter().sum::<f64>());
-            if few < MIN_SELECTIONS * FAST_DECAY_S || all <= 0.0 {
+            let (slow_total, fast_total) = (slow.iter().sum::<f64>(), fast.iter().sum::<f64>());
+            if fast_total < MIN_SELECTIONS * FAST_DECAY_S || slow_total <= 0.0 {
                 continue;
             }
             sets += 1.0;
             for (slow, fast) in slow.iter().zip(fast) {
-                let part = slow / all;
-                distance += (part - fast / few).abs();
-                noise += (part / few).sqrt();
+                let part = slow / slow_total;
+                distance += (part - fast / fast_total).abs();
+                noise += (part / fast_total).sqrt();
             }
         }
         sets > 0.0 && distance > MIN_SHIFT_DISTANCE * sets + NOISE_FACTOR * noise
