--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -69,7 +69,7 @@
         wait: Duration,
     },
     /// Wait for the next event of the attempt.
-    AwaitEvent,
+    Wait,
     /// Forward the head of the answer to the caller.
     ForwardHead,
     /// Forward the unit to the caller.
@@ -108,7 +108,7 @@
 /// let policy = RetryPolicy::AtMostOnce { fences: vec![fence], exclusive: true };
 /// let mut call = Call::new(policy);
 /// assert!(matches!(call.start(), Action::Connect { .. }));
-/// assert_eq!(call.handle(Event::Connected, &mut budget), Action::AwaitEvent);
+/// assert_eq!(call.handle(Event::Connected, &mut budget), Action::Wait);
 /// // Lost after sending: retry at the same agent, which joins the run or replays the answer.
 /// assert!(matches!(call.handle(Event::Lost, &mut budget), Action::Connect { .. }));
 /// // The deadline passes during the retry: whether the operation ran is unknown.
@@ -189,11 +189,11 @@
     /// Processes an event and returns the next action.
     pub fn handle(&mut self, event: Event, budget: &mut RetryBudget) -> Action {
         match (mem::replace(&mut self.phase, Phase::Over), event) {
-            (Phase::Over, _) => Action::AwaitEvent,
+            (Phase::Over, _) => Action::Wait,
             (phase, Event::Deadline | Event::CallerDisconnected) => self.stop(&phase),
             (Phase::Connecting(attempt), Event::Connected) => {
                 self.phase = Phase::Sent(attempt.sent());
-                Action::AwaitEvent
+                Action::Wait
             }
             (Phase::Connecting(attempt), Event::ConnectFailed | Event::Lost) => {
                 self.on_not_sent(attempt.fail(), budget)
@@ -201,7 +201,7 @@
             (Phase::Sent(attempt), Event::Head) => {
                 self.phase = Phase::Answering(attempt.head());
                 let first = !mem::replace(&mut self.head_seen, true);
-                if first { Action::ForwardHead } else { Action::AwaitEvent }
+                if first { Action::ForwardHead } else { Action::Wait }
             }
             (Phase::Sent(attempt), Event::Refused(why)) => {
                 self.on_refused(why, attempt.refuse(why), budget)
@@ -211,7 +211,7 @@
                 let taken = attempt.accept(at, 1);
                 self.delivered = attempt.offset();
                 self.phase = Phase::Answering(attempt);
-                if taken { Action::ForwardChunk } else { Action::AwaitEvent }
+                if taken { Action::ForwardChunk } else { Action::Wait }
             }
             (Phase::Answering(_), Event::End) => finish(Outcome::Done, None),
             (Phase::Answering(attempt), Event::Lost | Event::Refused(_)) => {
@@ -220,7 +220,7 @@
             // A late event, or one that does not fit the phase, changes nothing.
             (phase, _) => {
                 self.phase = phase;
-                Action::AwaitEvent
+                Action::Wait
             }
         }
     }
@@ -299,7 +299,7 @@
 
     fn next_fence(&mut self, evidence: Evidence) -> Action {
         let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
-            return Action::AwaitEvent;
+            return Action::Wait;
         };
         if self.fence_index + 1 >= fences.len() {
             return self.give_up(Some(evidence));
@@ -312,7 +312,7 @@
 
     fn connect_fence(&mut self, wait: Option<Duration>) -> Action {
         let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
-            return Action::AwaitEvent;
+            return Action::Wait;
         };
         match fences.get(self.fence_index).cloned() {
             Some(fence) => self.connect(fence, wait.unwrap_or_default()),
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -144,7 +144,7 @@
                 Action::Connect { fence, from, wait } => {
                     self.open(&mut call, &fence, from, wait).await
                 }
-                Action::AwaitEvent => self.read(&mut call).await,
+                Action::Wait => self.read(&mut call).await,
                 Action::ForwardHead => {
                     self.deliver_head(&mut call);
                     self.read(&mut call).await
--- a/tests/testsuite/fuzz_outcomes.rs
+++ b/tests/testsuite/fuzz_outcomes.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzz of calls, tickets and ledgers against an oracle that knows
-//! only the promises: an operation runs at most once, and one that a caller was
-//! told is "not run" never runs, not even by a late copy.
+//! State machine test of calls and deduplication tables: an operation runs at most
+//! once, and an operation reported as "not run" never runs, not even by a late
+//! copy of its order.
 
 use mastweir_core::{
     id::{Fence, Incarnation, OpId},
@@ -16,36 +16,36 @@
 
 const AGENTS: usize = 3;
 const OPERATIONS: usize = 4;
-const TERM: Duration = Duration::from_secs(600);
+const TICKET_LIFETIME: Duration = Duration::from_secs(600);
 
-/// What happens next; indices are taken modulo what is there.
+/// A step of the test; indices are taken modulo the number of objects.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A caller submits an operation, perhaps again, through any entry.
+    /// A caller submits an operation for the first time or again.
     Submit(usize),
-    /// A call's connection opens, or does not.
+    /// A call's connection opens, or fails to open.
     Open(usize, bool),
-    /// The network delivers an order, perhaps one whose connection is gone.
+    /// The network delivers an order, whose connection may be lost by now.
     Deliver(usize),
-    /// A connection is lost, with or without its order on the way.
+    /// A connection is lost; its order may still be delivered.
     Lose(usize),
-    /// A call's time is over.
+    /// A call's deadline passes.
     Deadline(usize),
-    /// An agent begins what waits, or ends what runs.
+    /// An agent ends a running operation, or starts a queued one.
     Work(usize),
-    /// An agent sends away what waits.
+    /// An agent refuses all queued operations.
     Evict(usize),
-    /// An agent crashes and starts anew.
+    /// An agent crashes and restarts as a new incarnation.
     Restart(usize),
-    /// Time passes at all agents, in seconds.
-    Pass(u64),
+    /// Time passes, in seconds.
+    Advance(u64),
 }
 
-/// The reference knows nothing: the promises are checked on the world.
+/// The reference has no state; the invariants are checked on the world itself.
 #[derive(Clone, Debug)]
-pub struct Promises;
+pub struct NoReference;
 
-impl ReferenceStateMachine for Promises {
+impl ReferenceStateMachine for NoReference {
     type State = ();
     type Transition = Step;
 
@@ -64,7 +64,7 @@
             6 => any.clone().prop_map(Step::Work),
             1 => any.clone().prop_map(Step::Evict),
             1 => any.prop_map(Step::Restart),
-            1 => (1..400_u64).prop_map(Step::Pass),
+            1 => (1..400_u64).prop_map(Step::Advance),
         ]
         .boxed()
     }
@@ -75,16 +75,16 @@
 #[derive(Debug)]
 struct Agent {
     incarnation: Incarnation,
-    ledger: DedupTable<usize>,
+    dedup: DedupTable<usize>,
     waiting: Vec<usize>,
     running: Vec<usize>,
     /// Connections that wait for an answer: call, attempt and operation.
-    listening: Vec<(usize, u32, usize)>,
+    connections: Vec<(usize, u32, usize)>,
 }
 
-/// An order in the network.
+/// An order that was sent and not delivered yet.
 #[derive(Clone, Debug)]
-struct Flying {
+struct SentOrder {
     call: usize,
     attempt: u32,
     operation: usize,
@@ -93,43 +93,42 @@
 }
 
 #[derive(Debug)]
-struct Running {
+struct Submission {
     operation: usize,
     call: Call,
-    /// Where its connection stands.
-    at: At,
-    told: Option<Outcome>,
+    connection: Connection,
+    outcome: Option<Outcome>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum At {
+enum Connection {
     Opening(Fence),
     Sent,
     Over,
 }
 
-/// The world: agents, network, calls, and what really ran.
+/// Agents, network, calls, and how often each operation ran.
 #[derive(Debug)]
 pub struct World {
     now: Uptime,
     agents: Vec<Agent>,
-    flying: Vec<Flying>,
-    calls: Vec<Running>,
+    in_flight: Vec<SentOrder>,
+    calls: Vec<Submission>,
     tickets: HashMap<usize, (Vec<Fence>, Uptime)>,
     ran: Vec<u32>,
     budget: RetryBudget,
-    births: u64,
+    incarnations: u64,
 }
 
 fn op(operation: usize) -> OpId {
     OpId::from_key("customer", &operation.to_string())
 }
 
-fn agent(births: &mut u64) -> Agent {
-    *births += 1;
-    let incarnation = Incarnation(*births);
-    let ledger = DedupTable::new(incarnation, DedupLimits::default());
-    Agent { incarnation, ledger, waiting: Vec::new(), running: Vec::new(), listening: Vec::new() }
+fn agent(incarnations: &mut u64) -> Agent {
+    *incarnations += 1;
+    let incarnation = Incarnation(*incarnations);
+    let dedup = DedupTable::new(incarnation, DedupLimits::default());
+    Agent { incarnation, dedup, waiting: Vec::new(), running: Vec::new(), connections: Vec::new() }
 }
 
 impl World {
@@ -139,26 +138,30 @@
             server: i.to_string(),
             incarnation: agent.incarnation,
         };
-        let ticket = self
-            .tickets
-            .entry(operation)
-            .or_insert_with(|| (agents.iter().enumerate().map(fence).collect(), self.now + TERM));
-        let plan = RetryPolicy::AtMostOnce { fences: ticket.0.clone(), exclusive: false };
-        let mut call = Call::new(plan);
+        let ticket = self.tickets.entry(operation).or_insert_with(|| {
+            (agents.iter().enumerate().map(fence).collect(), self.now + TICKET_LIFETIME)
+        });
+        let policy = RetryPolicy::AtMostOnce { fences: ticket.0.clone(), exclusive: false };
+        let mut call = Call::new(policy);
         let action = call.start();
-        self.calls.push(Running { operation, call, at: At::Over, told: None });
+        self.calls.push(Submission {
+            operation,
+            call,
+            connection: Connection::Over,
+            outcome: None,
+        });
         self.act(self.calls.len() - 1, action);
     }
 
-    /// Carries out what a call asks for.
+    /// Carries out an action of a call.
     fn act(&mut self, i: usize, action: Action) {
         match action {
-            Action::Connect { fence, .. } => self.calls[i].at = At::Opening(fence),
+            Action::Connect { fence, .. } => self.calls[i].connection = Connection::Opening(fence),
             Action::Finish { outcome, .. } => {
-                self.calls[i].told = Some(outcome);
-                self.calls[i].at = At::Over;
+                self.calls[i].outcome = Some(outcome);
+                self.calls[i].connection = Connection::Over;
             }
-            Action::AwaitEvent | Action::ForwardHead | Action::ForwardChunk => (),
+            Action::Wait | Action::ForwardHead | Action::ForwardChunk => (),
             Action::Route => unreachable!("only calls that may be repeated are routed"),
         }
     }
@@ -169,53 +172,52 @@
     }
 
     fn open(&mut self, i: usize, ok: bool) {
-        let At::Opening(fence) = self.calls[i].at.clone() else { return };
+        let Connection::Opening(fence) = self.calls[i].connection.clone() else { return };
         if !ok {
             return self.feed(i, Event::ConnectFailed);
         }
         let operation = self.calls[i].operation;
-        let place = fence.server.parse().unwrap_or(0);
+        let agent = fence.server.parse().unwrap_or(0);
         let expires = self.tickets[&operation].1;
         let order = Order { op: op(operation), incarnation: fence.incarnation, expires };
         let attempt = self.calls[i].call.attempts();
-        self.calls[i].at = At::Sent;
-        self.flying.push(Flying { call: i, attempt, operation, agent: place, order });
+        self.calls[i].connection = Connection::Sent;
+        self.in_flight.push(SentOrder { call: i, attempt, operation, agent, order });
         self.feed(i, Event::Connected);
     }
 
     fn deliver(&mut self, i: usize) {
-        let Flying { call, attempt, operation, agent, order } = self.flying.remove(i);
-        let verdict = self.agents[agent].ledger.admit(&order, self.now, operation);
-        let held = &mut self.agents[agent];
+        let SentOrder { call, attempt, operation, agent, order } = self.in_flight.remove(i);
+        let verdict = self.agents[agent].dedup.admit(&order, self.now, operation);
+        let state = &mut self.agents[agent];
         match verdict {
             Verdict::Run => {
-                held.waiting.push(operation);
-                held.listening.push((call, attempt, operation));
+                state.waiting.push(operation);
+                state.connections.push((call, attempt, operation));
             }
             Verdict::Join(_) => {
-                held.listening.push((call, attempt, operation));
+                state.connections.push((call, attempt, operation));
                 let ended =
-                    !held.waiting.contains(&operation) && !held.running.contains(&operation);
+                    !state.waiting.contains(&operation) && !state.running.contains(&operation);
                 if ended {
-                    self.tell(agent, operation, None);
+                    self.answer(agent, operation, None);
                 }
             }
             Verdict::Refuse(why) => {
-                held.listening.push((call, attempt, operation));
-                self.tell(agent, operation, Some(why));
+                state.connections.push((call, attempt, operation));
+                self.answer(agent, operation, Some(why));
             }
         }
     }
 
-    /// Those that wait for an operation at an agent hear how it ended, unless
-    /// their connection was lost.
-    fn tell(&mut self, agent: usize, operation: usize, refusal: Option<Refusal>) {
-        let all = std::mem::take(&mut self.agents[agent].listening);
+    /// Answers the connections that wait for an operation at an agent, unless they were lost.
+    fn answer(&mut self, agent: usize, operation: usize, refusal: Option<Refusal>) {
+        let all = std::mem::take(&mut self.agents[agent].connections);
         let (these, others) = all.into_iter().partition(|(_, _, of)| *of == operation);
-        self.agents[agent].listening = others;
+        self.agents[agent].connections = others;
         for (call, attempt, _) in these {
-            let open =
-                self.calls[call].at == At::Sent && self.calls[call].call.attempts() == attempt;
+            let open = self.calls[call].connection == Connection::Sent
+                && self.calls[call].call.attempts() == attempt;
             match refusal {
                 _ if !open => (),
                 Some(why) => self.feed(call, Event::Refused(why)),
@@ -228,17 +230,17 @@
     }
 
     fn work(&mut self, agent: usize) {
-        let held = &mut self.agents[agent];
-        if let Some(operation) = held.running.pop() {
-            held.ledger.finish(op(operation), 1);
-            return self.tell(agent, operation, None);
+        let state = &mut self.agents[agent];
+        if let Some(operation) = state.running.pop() {
+            state.dedup.finish(op(operation), 1);
+            return self.answer(agent, operation, None);
         }
-        if held.waiting.is_empty() {
+        if state.waiting.is_empty() {
             return;
         }
-        let operation = held.waiting.remove(0);
-        if held.ledger.start(op(operation)) {
-            held.running.push(operation);
+        let operation = state.waiting.remove(0);
+        if state.dedup.start(op(operation)) {
+            state.running.push(operation);
             self.ran[operation] += 1;
         }
     }
@@ -246,46 +248,49 @@
     fn evict(&mut self, agent: usize) {
         for operation in std::mem::take(&mut self.agents[agent].waiting) {
             let why = Refusal::Overloaded;
-            self.agents[agent].ledger.cancel(op(operation), why);
-            self.tell(agent, operation, Some(why));
+            self.agents[agent].dedup.cancel(op(operation), why);
+            self.answer(agent, operation, Some(why));
         }
     }
 
     fn lose(&mut self, i: usize) {
-        if self.calls[i].at == At::Sent {
+        if self.calls[i].connection == Connection::Sent {
             self.feed(i, Event::Lost);
         }
     }
 
-    fn restart(&mut self, place: usize) {
-        self.agents[place] = agent(&mut self.births);
+    fn restart(&mut self, index: usize) {
+        self.agents[index] = agent(&mut self.incarnations);
     }
 
     fn check(&self) {
         for (operation, ran) in self.ran.iter().enumerate() {
             assert!(*ran <= 1, "operation {operation} ran {ran} times");
             let mut calls = self.calls.iter().filter(|call| call.operation == operation);
-            let not_run = calls.any(|call| call.told == Some(Outcome::NotRun));
-            assert!(!(not_run && *ran > 0), "told not run, and ran: {operation}");
+            let not_run = calls.any(|call| call.outcome == Some(Outcome::NotRun));
+            assert!(
+                !(not_run && *ran > 0),
+                "operation {operation} ran after it was reported as not run"
+            );
         }
     }
 }
 
 impl StateMachineTest for World {
     type SystemUnderTest = Self;
-    type Reference = Promises;
+    type Reference = NoReference;
 
     fn init_test((): &()) -> Self {
-        let mut births = 0;
+        let mut incarnations = 0;
         Self {
             now: Uptime::from_secs(1),
-            agents: (0..AGENTS).map(|_| agent(&mut births)).collect(),
-            flying: Vec::new(),
+            agents: (0..AGENTS).map(|_| agent(&mut incarnations)).collect(),
+            in_flight: Vec::new(),
             calls: Vec::new(),
             tickets: HashMap::new(),
             ran: vec![0; OPERATIONS],
             budget: RetryBudget::default(),
-            births,
+            incarnations,
         }
     }
 
@@ -295,20 +300,20 @@
         match step {
             Step::Submit(i) => world.submit(i % OPERATIONS),
             Step::Open(i, ok) if has_calls => world.open(i % calls, ok),
-            Step::Deliver(i) if !world.flying.is_empty() => {
-                world.deliver(i % world.flying.len());
+            Step::Deliver(i) if !world.in_flight.is_empty() => {
+                world.deliver(i % world.in_flight.len());
             }
             Step::Lose(i) if has_calls => world.lose(i % calls),
             Step::Deadline(i) if has_calls => {
                 let i = i % calls;
-                if world.calls[i].at != At::Over {
+                if world.calls[i].connection != Connection::Over {
                     world.feed(i, Event::Deadline);
                 }
             }
             Step::Work(i) => world.work(i % AGENTS),
             Step::Evict(i) => world.evict(i % AGENTS),
             Step::Restart(i) => world.restart(i % AGENTS),
-            Step::Pass(seconds) => world.now = world.now + Duration::from_secs(seconds),
+            Step::Advance(seconds) => world.now = world.now + Duration::from_secs(seconds),
             _ => (),
         }
         world
@@ -319,14 +324,14 @@
     }
 
     fn teardown(mut world: Self, (): ()) {
-        // Whatever is still on the way arrives, and all work is done.
-        while !world.flying.is_empty() {
+        // All orders are delivered and all operations end.
+        while !world.in_flight.is_empty() {
             world.deliver(0);
         }
-        for place in 0..AGENTS {
-            while !world.agents[place].waiting.is_empty() || !world.agents[place].running.is_empty()
+        for index in 0..AGENTS {
+            while !world.agents[index].waiting.is_empty() || !world.agents[index].running.is_empty()
             {
-                world.work(place);
+                world.work(index);
             }
         }
         world.check();
@@ -342,5 +347,5 @@
     })]
 
     #[test]
-    fn promises_hold(sequential 1..80 => World);
+    fn operations_run_at_most_once(sequential 1..80 => World);
 }
