--- a/tests/testsuite/faults.rs
+++ b/tests/testsuite/faults.rs
@@ -1,4 +1,5 @@
-//! What must hold when things fail, with real connections in one process.
+//! Outcomes of requests when agents, ranks, the platform or callers fail, with all
+//! processes of the fleet in one process and real connections.
 
 use googletest::prelude::*;
 use mastweir::{entry::EntryInstance, objects::GroupSpec};
@@ -102,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn ticket_of_an_agent_that_is_gone_is_unknown_and_not_run_again() -> eyre::Result<()> {
+async fn ticket_of_crashed_agent_is_unknown_and_not_run_again() -> eyre::Result<()> {
     let mut fleet = fleet_of(1).await?;
     let ticket = ticket(&fleet, 0).await?;
     let first = rebook(&fleet, 0, &ticket, "g1").await?;
@@ -145,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn caller_who_leaves_cancels_the_engines_work() -> eyre::Result<()> {
+async fn caller_disconnect_cancels_request_at_engine() -> eyre::Result<()> {
     let fleet = fleet_of(1).await?;
     let body = json!({
         "model": "assistant", "prompt": "x", "user": "c", "max_tokens": 2000, "stream": true,
@@ -161,11 +162,11 @@
         }
         time::sleep(Duration::from_millis(20)).await;
     }
-    Err(eyre::eyre!("the engine goes on for a caller who has left"))
+    Err(eyre::eyre!("the engine did not see its caller disconnect within 10 s"))
 }
 
 #[tokio::test]
-async fn planned_stop_of_an_agent_cuts_nothing_and_takes_nothing_new() -> eyre::Result<()> {
+async fn graceful_stop_of_agent_completes_running_requests() -> eyre::Result<()> {
     let mut fleet = fleet_of(2).await?;
     let body = json!({
         "model": "assistant", "prompt": "x", "user": "s", "max_tokens": 100, "stream": true,
@@ -190,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn drained_server_gets_nothing_new_and_an_undrained_one_again() -> eyre::Result<()> {
+async fn drained_server_gets_no_requests_until_undrained() -> eyre::Result<()> {
     let fleet = fleet_of(1).await?;
     let drain = mastweir_core::table::Drain { reason: "disk".to_owned() };
     fleet.row("s0", &mastweir_core::table::Row::Drain(drain));
@@ -216,10 +217,10 @@
     Ok(())
 }
 
-/// Found by the lost reply above: an idle fleet delivers nothing for a while,
-/// and the gate took that for its capacity.
+/// Guards against admission control that takes the low throughput of an idle fleet for its
+/// capacity.
 #[tokio::test]
-async fn idle_fleet_refuses_nobody_for_its_share() -> eyre::Result<()> {
+async fn idle_fleet_rejects_no_request_by_share() -> eyre::Result<()> {
     let fleet = fleet_of(1).await?;
     fleet.servers[0].engine.plain_us.store(2_500_000, Ordering::Relaxed);
     let slow = rebook(&fleet, 0, "i1", "i1").await?;
@@ -232,10 +233,10 @@
     Ok(())
 }
 
-/// Nobody told the coordinator of a steady group that a rank was replaced, and
-/// the group stood still.
+/// Guards against a group that stalls because its coordinator does not notice that a rank
+/// was replaced.
 #[tokio::test]
-async fn group_goes_on_after_a_rank_was_replaced() -> eyre::Result<()> {
+async fn group_continues_after_rank_replacement() -> eyre::Result<()> {
     let mut fleet = Fleet::new(13).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
@@ -269,13 +270,12 @@
         }
         time::sleep(Duration::from_millis(20)).await;
     }
-    Err(eyre::eyre!("the group stands still at {:?}", ranks.record()))
+    Err(eyre::eyre!("the group made fewer than {steps} steps within 20 s: {:?}", ranks.record()))
 }
 
-/// Written while the table measure hung after some bursts; the cause was another,
-/// see `processes::status_does_not_stop_an_entry`.
+/// Guards against table updates that are lost in a burst.
 #[tokio::test]
-async fn burst_of_rows_is_in_force_everywhere() -> eyre::Result<()> {
+async fn burst_of_rows_reaches_all_entries() -> eyre::Result<()> {
     let mut fleet = Fleet::new(17).await?;
     fleet.row("c0", &customer("c0", 1.0));
     for (name, hall) in [("e0", "north"), ("e1", "north"), ("e2", "north"), ("e3", "south")] {
@@ -297,5 +297,5 @@
         time::sleep(Duration::from_millis(20)).await;
     }
     let versions: Vec<u64> = fleet.entries.iter().map(EntryInstance::table_version).collect();
-    Err(eyre::eyre!("wanted {version} everywhere, got {versions:?}"))
+    Err(eyre::eyre!("entries have table versions {versions:?}, expected {version}"))
 }
--- a/tests/testsuite/fuzz_routing.rs
+++ b/tests/testsuite/fuzz_routing.rs
@@ -1,5 +1,5 @@
-//! Fuzz of the router: whatever it has heard and seen, it names only servers
-//! that may be named, and some server whenever there is one.
+//! Property test of the router: it chooses only available servers, and it chooses one
+//! whenever one is available.
 
 use mastweir_core::{
     id::Incarnation,
@@ -11,31 +11,31 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
-/// What the router hears and sees.
+/// An input of the router, or a choice.
 #[derive(Clone, Debug)]
 enum Step {
     Report(usize, u32, bool),
     Send(usize),
     End(usize, Signal),
-    Pass(u64),
+    Advance(u64),
     Choose(u64, usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let place = 0..200_usize;
+    let index = 0..200_usize;
     let signal = prop_oneof![Just(Signal::Success), Just(Signal::Failed), Just(Signal::Stalled)];
     let step = prop_oneof![
-        4 => (place.clone(), 0..5_000_u32, prop::bool::weighted(0.1))
+        4 => (index.clone(), 0..5_000_u32, prop::bool::weighted(0.1))
             .prop_map(|(i, backlog, leaving)| Step::Report(i, backlog, leaving)),
-        3 => place.clone().prop_map(Step::Send),
-        2 => (place.clone(), signal).prop_map(|(i, signal)| Step::End(i, signal)),
-        1 => (1..4_000_u64).prop_map(Step::Pass),
-        4 => (any::<u64>(), place).prop_map(|(prefix, tried)| Step::Choose(prefix, tried)),
+        3 => index.clone().prop_map(Step::Send),
+        2 => (index.clone(), signal).prop_map(|(i, signal)| Step::End(i, signal)),
+        1 => (1..4_000_u64).prop_map(Step::Advance),
+        4 => (any::<u64>(), index).prop_map(|(prefix, tried)| Step::Choose(prefix, tried)),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-fn is_open(server: &ServerView, now: Uptime, policy: &Policy, tried: &[String]) -> bool {
+fn is_available(server: &ServerView, now: Uptime, policy: &Policy, tried: &[String]) -> bool {
     let Some((load, at)) = &server.report else { return false };
     let on_trial = server.health.is_trial(now) && server.in_flight > 0;
     !load.leaving
@@ -49,13 +49,16 @@
     let tried = vec![router.servers()[tried].name.clone()];
     let request = Request { prefix: Some(prefix), saved_units: 10, cost: 100, tried: &tried };
     let policy = Policy::default();
-    let open = |server: &ServerView| is_open(server, now, &policy, &tried);
+    let available = |server: &ServerView| is_available(server, now, &policy, &tried);
     match router.choose(&request, now, rng) {
         Some(choice) => {
             let server = &router.servers()[choice.index];
-            assert!(open(server), "named a server that is not open: {server:?}");
+            assert!(available(server), "chose a server that is not available: {server:?}");
         }
-        None => assert!(!router.servers().iter().any(open), "an open server was not named"),
+        None => assert!(
+            !router.servers().iter().any(available),
+            "chose none although a server is available"
+        ),
     }
 }
 
@@ -85,13 +88,16 @@
             Step::End(i, signal) => {
                 router.on_ended(i % servers, Some(*signal), now);
             }
-            Step::Pass(millis) => now = now + Duration::from_millis(*millis),
+            Step::Advance(millis) => now = now + Duration::from_millis(*millis),
             Step::Choose(prefix, tried) => {
                 check(&router, *prefix, tried % servers, now, &mut rng);
             }
         }
         let out = router.servers().iter().filter(|server| server.health.is_ejected(now)).count();
-        assert!(out * 100 <= servers * Policy::default().eject_pct, "too many are ejected");
+        assert!(
+            out * 100 <= servers * Policy::default().eject_pct,
+            "{out} of {servers} servers are ejected"
+        );
     }
 }
 
@@ -104,36 +110,35 @@
     })]
 
     #[test]
-    fn only_open_servers_are_named(servers in 1..170_usize, steps in steps()) {
+    fn only_available_servers_are_chosen(servers in 1..170_usize, steps in steps()) {
         run(servers, &steps);
     }
 }
 
-/// Found by the outcomes measure: where all servers of a hall are homes of a
-/// prefix, and none of them has room for a request out of turn, none was named.
+/// Guards against choosing no server when all servers are affinity targets of the prefix
+/// and all of them are saturated.
 #[test]
-fn homes_that_are_full_are_still_candidates() {
+fn saturated_affinity_targets_are_still_candidates() {
     let full: Vec<Step> = (0..2).map(|i| Step::Report(i, 4_000, false)).collect();
     let steps = [full, vec![Step::Choose(7, 0), Step::Choose(9, 1)]].concat();
     run(2, &steps);
 }
 
-/// Found by the routing measure with 410 entries: all began with the first
-/// server of the list and went round in step.
+/// Guards against entries that choose servers in the same order and overload the first one.
 #[test]
-fn entries_do_not_begin_with_the_same_server() {
+fn entries_start_with_different_servers() {
     let mut chosen = std::collections::HashSet::new();
     for seed in 0..20 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut router = Router::new(Policy::default());
         router.set_servers((0..20).map(|i| ServerView::new(format!("s{i}"), true)).collect());
         let now = Uptime::from_secs(1);
-        for place in 0..20 {
+        for index in 0..20 {
             let load = Load { slots: 4, rate: 400, mean_remaining: 50, ..Load::default() };
-            router.on_report(place, &load, now);
+            router.on_report(index, &load, now);
         }
         let choice = router.choose(&Request::default(), now, &mut rng);
         chosen.extend(choice.map(|choice| choice.index));
     }
-    assert!(chosen.len() > 8, "20 entries began with {} servers", chosen.len());
+    assert!(chosen.len() > 8, "20 entries started with {} servers", chosen.len());
 }
--- a/tests/testsuite/path.rs
+++ b/tests/testsuite/request_path.rs
@@ -1,4 +1,4 @@
-//! The whole path of a request, in one process.
+//! Path of a request through entry, agent and engine, all in one process.
 
 use googletest::prelude::*;
 use mastweir_test_support::{
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn whole_answer_comes_back() -> eyre::Result<()> {
+async fn request_returns_complete_answer() -> eyre::Result<()> {
     let fleet = small_fleet().await?;
     let body = json!({"model": "assistant", "prompt": "bag", "user": "m1", "max_tokens": 5});
     let client = reqwest::Client::new();
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn stream_is_whole_and_ends_with_its_last_event() -> eyre::Result<()> {
+async fn stream_is_complete_and_ends_with_done_event() -> eyre::Result<()> {
     let fleet = small_fleet().await?;
     let body = json!({
         "model": "assistant", "prompt": "bag", "user": "m2", "max_tokens": 3, "stream": true,
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn unknown_key_is_refused_with_the_remedy() -> eyre::Result<()> {
+async fn unknown_key_is_rejected_with_remedy() -> eyre::Result<()> {
     let fleet = small_fleet().await?;
     let client = reqwest::Client::new();
     let request = client.post(format!("{}/desk/rebook", fleet.url(0))).body("m3");
