--- a/crates/mastweir-core/src/id.rs
+++ b/crates/mastweir-core/src/id.rs
@@ -1,26 +1,26 @@
-//! Names of things, each a type of its own so that none stands for another.
+//! Identifiers, each a type of its own so that they can't be mixed up.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One life of a process: drawn anew at every start.
+/// One start of a process. A later start has a higher value.
 ///
-/// An order addressed to an earlier incarnation is refused by the next one,
-/// since that one cannot know what the earlier one did.
+/// A process rejects orders addressed to an earlier incarnation, since it doesn't know what
+/// that one did.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
-/// One operation of a caller, whatever the number of its submissions.
+/// An operation of a customer, however often it is submitted.
 ///
-/// A keyed call derives it from the customer and the key, so that every
-/// submission of it arrives at the same value; any other call draws it.
+/// A request with an idempotency key derives its id from the customer and the key, so that
+/// all submissions get the same id. Other requests draw it at random.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OpId(pub [u8; 16]);
 
 impl OpId {
-    /// The operation that `customer` names by `key`.
+    /// Returns the id of the operation that `customer` submits under `key`.
     pub fn from_key(customer: &str, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key("mastweir 2026 operation of a key");
         hasher.update(&(customer.len() as u64).to_le_bytes());
@@ -44,12 +44,12 @@
     }
 }
 
-/// One life of one server's agent: the fence that an operation is bound to.
+/// One incarnation of a server's agent. Operations are bound to it, so that a later
+/// incarnation rejects them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fence {
     /// Name of the server in the instance list.
     pub server: String,
-    /// Incarnation of the agent in its slot.
     pub incarnation: Incarnation,
 }
 
--- a/crates/mastweir-core/src/lib.rs
+++ b/crates/mastweir-core/src/lib.rs
@@ -1,24 +1,24 @@
-//! The decisions of mastweir, without I/O.
+//! Decision logic of mastweir, without I/O.
 //!
-//! A load balancer's worth is in what it decides: how a request ends, who is
-//! served next, which server runs it, when a map of experts is worth moving.
-//! All of that lives here, as state machines and pure functions over typed
-//! state. Nothing in this crate opens a socket, reads a clock or draws from
-//! the system's randomness: time comes in as a value ([`time::Uptime`]) and
-//! randomness as a seeded generator. Every decision can therefore be replayed.
+//! State machines and pure functions over typed state: how a request ends, which request is
+//! served next, which server runs it, when a group changes its expert map. The binaries add
+//! sockets, timers and the platform's API. Nothing in this crate opens a socket, reads a
+//! clock or uses the system's randomness: time is passed in as a value ([`time::Uptime`])
+//! and randomness as a seeded generator, so that every decision can be replayed.
 //!
-//! Where to start reading:
+//! Modules:
 //!
-//! - [`outcome`]: how a request ends exactly once, and why it may be retried.
-//! - [`share`]: weighted fair queues, limits, and the fleet-wide correction.
-//! - [`route`]: the choice of server, ejection, and the retry budget.
+//! - [`outcome`]: how a request ends exactly once, and when it may be retried.
+//! - [`share`]: weighted fair queues, limits, and fleet-wide shares.
+//! - [`route`]: choice of a server, ejection, and the retry budget.
 //! - [`gateway`]: how requests are passed through to servers unchanged.
-//! - [`experts`]: when to move an expert, and where to.
-//! - [`switch`]: how all ranks of a group change their map at one step.
-//! - [`table`]: the rows that operators edit, and why a version never reverts.
-//! - [`revision`]: moments of the platform's store, which may come back from a copy.
-//! - [`member`]: who is alive, suspect, leaving or gone.
-//! - [`wire`]: the messages between mastweir's own processes.
+//! - [`experts`]: planning which rank holds which experts.
+//! - [`switch`]: how all ranks of a group change their expert map at the same step.
+//! - [`table`]: rows that operators edit, merged so that no version reverts.
+//! - [`revision`]: revisions of the platform's store, which may be restored from an older
+//!   copy.
+//! - [`member`]: membership of processes: alive, suspect, leaving or departed.
+//! - [`wire`]: messages between the entry processes and agents.
 
 pub mod experts;
 pub mod gateway;
--- a/crates/mastweir-core/src/table/csv.rs
+++ b/crates/mastweir-core/src/table/csv.rs
@@ -1,64 +1,59 @@
-//! The customers' rows as a sheet: one line a customer, by named columns.
+//! Customers' rows as CSV: one line per customer, with a fixed header.
 //!
-//! A sheet with one bad line is refused whole. The error names line, column
-//! and remedy.
+//! A file with one invalid line is rejected as a whole. The error names the line, the
+//! column and the valid values.
 
 use super::{Customer, Row, RowError};
 use std::{fmt::Write, str::FromStr};
 
-/// The columns, in order.
 const COLUMNS: [&str; 8] =
     ["name", "weight", "inflight", "units_s", "burst", "queue", "largest", "key_hash"];
 
-/// Why a sheet is refused.
+/// Why a CSV file is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CsvError {
-    /// The first line does not name the columns.
+    /// The first line is not the expected header.
     #[error(
         "reading the first line: {0:?} is not the header; begin with 'name,weight,inflight,units_s,burst,queue,largest,key_hash'"
     )]
     Header(String),
-    /// A line has another number of cells.
+    /// A line has the wrong number of cells.
     #[error("reading line {line}: {cells} cells; give all 8 columns")]
     CellCount {
         /// Number of the line, from 1.
         line: usize,
-        /// CellCount found.
+        /// Number of cells found.
         cells: usize,
     },
-    /// A cell can't be read.
+    /// A cell is not a number.
     #[error("reading line {line}, column {column}: {value:?} is not a number; give one such as 3")]
     Number {
         /// Number of the line, from 1.
         line: usize,
-        /// The column.
         column: &'static str,
-        /// What stands there.
         value: String,
     },
-    /// A row is bad.
+    /// A row is invalid.
     #[error("reading line {line}: {source}")]
     Row {
         /// Number of the line, from 1.
         line: usize,
-        /// Why.
         source: RowError,
     },
-    /// A name stands twice.
-    #[error("reading line {line}: {name} stands twice; keep one line a customer")]
+    /// Two lines have the same name.
+    #[error("reading line {line}: {name} appears twice; keep one line per customer")]
     Duplicate {
         /// Number of the line, from 1.
         line: usize,
-        /// The name.
         name: String,
     },
 }
 
-/// Reads a sheet's lines, as cells, into customers.
+/// Reads customers from the lines of a CSV file, already split into cells.
 ///
 /// # Errors
 ///
-/// [`CsvError`] of the first bad line.
+/// Returns the [`CsvError`] of the first invalid line.
 pub fn customers_from_csv(lines: &[Vec<String>]) -> Result<Vec<(String, Customer)>, CsvError> {
     let header = lines.first().map(|cells| cells.join(",")).unwrap_or_default();
     if header != COLUMNS.join(",") {
@@ -76,11 +71,11 @@
     Ok(customers)
 }
 
-/// Writes customers as a sheet.
+/// Writes customers as CSV.
 pub fn customers_to_csv<'a>(rows: impl Iterator<Item = (&'a str, &'a Customer)>) -> String {
     let mut text = COLUMNS.join(",") + "\n";
     for (name, c) in rows {
-        // Names and hashes need no quotes, and writing to a string can't fail.
+        // Names and hashes need no quoting, and writing to a string can't fail.
         let _ = writeln!(
             text,
             "{name},{},{},{},{},{},{},{}",
--- a/crates/mastweir-core/src/table/merge.rs
+++ b/crates/mastweir-core/src/table/merge.rs
@@ -1,50 +1,52 @@
-//! Merging rows from lists, watches and peers so that no version reverts.
+//! Merges rows from lists, watches and peers so that no version reverts.
+//!
+//! Changes up to `complete` are all known, so that a row of such a version is either held
+//! already or was replaced or deleted.
 
 use super::{Row, RowKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 
-/// Tombstones kept at most; the oldest go first.
+/// Tombstones above which the oldest are pruned.
 const TOMBSTONES_MAX: usize = 4_096;
 
-/// How far a table has come.
+/// Summary of a table that peers compare.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest {
-    /// Version up to which nothing is missing.
+    /// Version up to which no change is missing.
     pub complete: u64,
 }
 
-/// A row at a version; without a row, that it was deleted then.
+/// A row at a version, or its deletion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedRow {
-    /// Its key.
     pub key: RowKey,
     /// Resource version of the object.
     pub version: u64,
-    /// The row; `None` if it is deleted, or can't be read.
+    /// `None` if the row was deleted or can't be read.
     pub row: Option<Row>,
 }
 
-/// All that changed after one version up to another.
+/// All changes after one version up to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Nothing up to this is in it. 0: it is the whole table.
+    /// Changes up to this version are left out. 0 if this is the whole table.
     pub after: u64,
-    /// All up to this is in it.
+    /// Version up to which no change is missing.
     pub upto: u64,
-    /// The rows.
     pub rows: Vec<VersionedRow>,
 }
 
-/// The table in force at a process.
+/// The rows held by a process.
 ///
 /// ```
-/// use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, VersionedRow, Table};
+/// use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, Table, VersionedRow};
 ///
 /// let key = RowKey::new(RowKind::Drain, "s1");
 /// let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
 /// let mut table = Table::default();
-/// table.merge(&Delta { after: 0, upto: 7, rows: vec![VersionedRow { key: key.clone(), version: 7, row }] });
+/// let rows = vec![VersionedRow { key: key.clone(), version: 7, row }];
+/// table.merge(&Delta { after: 0, upto: 7, rows });
 /// // A list from before the row was written changes nothing.
 /// table.merge(&Delta { after: 0, upto: 5, rows: vec![] });
 /// assert!(table.get(&key).is_some());
@@ -54,39 +56,38 @@
 pub struct Table {
     rows: BTreeMap<RowKey, VersionedRow>,
     complete: u64,
-    /// Deltas from before this can't be given: their tombstones are gone.
+    /// Deltas after older versions are not possible, as tombstones are missing.
     delta_floor: u64,
 }
 
 impl Table {
-    /// Version up to which nothing is missing.
+    /// Returns the version up to which no change is missing.
     pub const fn complete(&self) -> u64 {
         self.complete
     }
 
-    /// What a peer is told.
     pub const fn digest(&self) -> Digest {
         Digest { complete: self.complete }
     }
 
-    /// The row under a key.
+    /// Returns the row under a key; `None` if it is deleted.
     pub fn get(&self, key: &RowKey) -> Option<&Row> {
         self.rows.get(key)?.row.as_ref()
     }
 
-    /// The version of the row under a key, a deleted one's too.
+    /// Returns the version of the row under a key, also of a deleted one.
     pub fn version(&self, key: &RowKey) -> Option<u64> {
         self.rows.get(key).map(|stored| stored.version)
     }
 
-    /// All rows that are not deleted.
+    /// Returns all rows that are not deleted.
     pub fn rows(&self) -> impl Iterator<Item = (&RowKey, &Row)> {
         self.rows.iter().filter_map(|(key, stored)| Some((key, stored.row.as_ref()?)))
     }
 
-    /// Takes one row of a watch in. True if it is newer than what was held.
+    /// Applies one event of a watch. Returns true if it is newer than the row held.
     ///
-    /// A watch delivers in order of versions, so all before it is known.
+    /// A watch delivers events in order of versions, so no earlier change is missing.
     pub fn apply_event(&mut self, stored: VersionedRow) -> bool {
         let version = stored.version;
         let newer = self.insert_newer(stored);
@@ -94,15 +95,16 @@
         newer
     }
 
-    /// Takes a delta in. False if it does not join on to what is held.
+    /// Applies a delta. Returns false if changes are missing between the table and the
+    /// delta.
     pub fn merge(&mut self, delta: &Delta) -> bool {
         if delta.after > self.complete {
             return false;
         }
         if delta.after == 0 && delta.upto >= self.complete {
             self.delete_absent(delta);
-            // Rows that came and went unseen have no tombstone here, so a peer
-            // that is further back has to be given the whole table.
+            // Rows that were written and deleted before this list have no tombstone here,
+            // so peers with older versions need the whole table.
             self.delta_floor = self.delta_floor.max(delta.upto);
         }
         for stored in &delta.rows {
@@ -112,7 +114,7 @@
         true
     }
 
-    /// What a holder of `digest` lacks. Empty if it lacks nothing.
+    /// Returns the changes that the holder of `digest` lacks; without rows if none.
     pub fn delta_since(&self, digest: Digest) -> Delta {
         let after = if digest.complete < self.delta_floor { 0 } else { digest.complete };
         let newer = self.rows.values().filter(|stored| stored.version > after);
@@ -122,8 +124,8 @@
     }
 
     fn insert_newer(&mut self, stored: VersionedRow) -> bool {
-        // Nothing up to `complete` is missing, so a row of such a version is one
-        // that was replaced or deleted since, whether or not that is still known.
+        // Changes up to `complete` are known, so a row of such a version was replaced or
+        // deleted since, even if its tombstone is pruned.
         let held = self.version(&stored.key);
         if stored.version <= self.complete.max(held.unwrap_or(0)) {
             return false;
@@ -136,7 +138,7 @@
         true
     }
 
-    /// A whole table that lacks a row which is held says that it was deleted.
+    /// Marks rows as deleted that a whole table no longer contains.
     fn delete_absent(&mut self, delta: &Delta) {
         let present: HashSet<&RowKey> = delta.rows.iter().map(|stored| &stored.key).collect();
         for (key, stored) in &mut self.rows {
--- a/crates/mastweir-core/src/table/mod.rs
+++ b/crates/mastweir-core/src/table/mod.rs
@@ -1,13 +1,13 @@
-//! The rows that operators edit, as every entry instance holds them.
+//! The configuration table: rows that operators edit, replicated to every entry process.
 //!
-//! One object of the object API is one row. Its version is the API's resource
-//! version, which rises over all rows. A [`Table`] takes a row only if its
-//! version is newer than the one it holds, wherever it comes from: a list, a
-//! watch, or a peer. So nothing old can come back, be it a stale list, a slow
-//! watch or a hall that was away. A deleted row stays as a tombstone.
+//! One object of the platform's object API is one row. Its version is the API's resource
+//! version, which increases over all rows. A [`Table`] accepts a row only if its version is
+//! newer than the one held, whether it comes from a list, a watch or a peer. Stale lists,
+//! delayed watches and reconnecting halls therefore never revert a row. A deleted row stays
+//! as a tombstone for a while.
 //!
-//! [`Table::complete`] is the version up to which nothing is missing. Peers
-//! compare it ([`Digest`]) and send each other what lies between ([`Delta`]).
+//! [`Table::complete`] is the version up to which no change is missing. Peers exchange it
+//! as a [`Digest`] and answer with the changes after it ([`Delta`]).
 
 mod csv;
 mod merge;
--- a/crates/mastweir-core/src/table/row.rs
+++ b/crates/mastweir-core/src/table/row.rs
@@ -1,42 +1,45 @@
-//! The kinds of rows, and what makes a row a bad one.
+//! The kinds of rows, and their validation.
+//!
+//! Operators edit rows as JSON or CSV, and the platform stores them as JSON, so field names
+//! are part of the stored format.
 
 use crate::share::Cost;
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Characters of a name at most.
+/// Maximum length of a name, in characters.
 const NAME_MAX: usize = 48;
 const WEIGHT_MAX: f64 = 1_000_000.0;
-/// Characters of a key's hash, in hexadecimal.
+/// Length of a key's hash, in hexadecimal digits.
 const KEY_HASH_LEN: usize = 64;
 
-/// A customer: its share and its limits, fleet-wide.
+/// A customer's share and limits; all limits are fleet-wide.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
-    /// Share relative to other customers; 0 means served only when idle.
+    /// Share relative to other customers; 0 means served only when the fleet is idle.
     pub weight: f64,
-    /// Requests in flight at most.
+    /// Maximum number of requests in flight.
     pub inflight: u32,
-    /// Service units a second at most.
+    /// Maximum number of service units per second.
     pub units_s: u32,
-    /// Service units that a burst may take beyond it.
+    /// Service units that a burst may use in addition.
     pub burst: u32,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub queue: u32,
-    /// Units of one request at most.
+    /// Maximum number of service units of one request.
     pub largest: u32,
     /// Hash of the bearer key, see [`hash_key`].
     pub key_hash: String,
 }
 
-/// What stands behind a path.
+/// How requests to a service are addressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
     /// A model engine, addressed by the model's name.
     Model,
-    /// A plain service, addressed by the first part of the path.
+    /// A plain HTTP service, addressed by the first segment of the path.
     Plain,
 }
 
@@ -44,48 +47,40 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What it is.
     pub kind: ServiceKind,
-    /// Whether its calls may be repeated.
+    /// Whether requests may be sent more than once.
     pub repeatable: bool,
-    /// Whether its streams can be resumed on another server.
+    /// Whether streams can be resumed on another server.
     pub resumable: bool,
-    /// Class of its calls among those of one customer; 0 first.
+    /// Priority class among the requests of one customer; 0 is served first.
     pub class: u8,
-    /// Time for a call, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub deadline_ms: u32,
-    /// What a call costs.
+    /// Cost of a request.
     pub cost: Cost,
 }
 
-/// An operator's word that a server is to leave.
+/// Marks a server that takes no new requests, because an operator drains it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Drain {
-    /// Why, for other operators.
+    /// Reason, for other operators.
     pub reason: String,
 }
 
-/// A row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Row {
-    /// A customer.
     Customer(Customer),
-    /// A service.
     Service(Service),
-    /// A drained server.
+    /// A drained server, by the server's name.
     Drain(Drain),
 }
 
-/// Kind of a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RowKind {
-    /// A customer.
     Customer,
-    /// A service.
     Service,
-    /// A drained server.
     Drain,
 }
 
@@ -99,17 +94,15 @@
     }
 }
 
-/// Kind and name of a row; as text, the name of its object.
+/// Kind and name of a row. As text, it is the name of the row's object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
-    /// The kind.
     pub kind: RowKind,
-    /// The name, unique in the kind.
+    /// Unique per kind.
     pub name: String,
 }
 
 impl RowKey {
-    /// The key of a row.
     pub fn new(kind: RowKind, name: &str) -> Self {
         Self { kind, name: name.to_owned() }
     }
@@ -133,31 +126,28 @@
     }
 }
 
-/// Why a row is refused.
+/// Why a row is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RowError {
     /// Not the name of a row's object.
     #[error("reading object name {0:?}: not a row; name it KIND.NAME, as in customer.quaystep")]
     Object(String),
-    /// A name that can't be one.
+    /// An invalid row name.
     #[error("reading name {0:?}: use 1 to 48 of the characters a-z, 0-9 and -")]
     Name(String),
-    /// A column's value that can't be.
+    /// A value out of range.
     #[error("reading {column} of {name}: {value} is out of range; give {remedy}")]
     Value {
-        /// The row.
+        /// Name of the row.
         name: String,
-        /// The column.
         column: &'static str,
-        /// What was given.
         value: String,
-        /// What to give instead.
+        /// Valid values.
         remedy: &'static str,
     },
 }
 
 impl Row {
-    /// The row's kind.
     pub const fn kind(&self) -> RowKind {
         match self {
             Self::Customer(_) => RowKind::Customer,
@@ -166,11 +156,11 @@
         }
     }
 
-    /// Checks the row under its name.
+    /// Validates the row under its name.
     ///
     /// # Errors
     ///
-    /// [`RowError`] that names the column and the remedy.
+    /// Returns [`RowError`], which names the column and the valid values.
     pub fn check(&self, name: &str) -> Result<(), RowError> {
         check_name(name)?;
         match self {
@@ -193,7 +183,7 @@
             return bad("inflight", "0".to_owned(), "1 or more requests; remove the row to stop");
         }
         if self.units_s == 0 {
-            return bad("units_s", "0".to_owned(), "1 or more units a second");
+            return bad("units_s", "0".to_owned(), "1 or more units per second");
         }
         if self.largest == 0 {
             return bad("largest", "0".to_owned(), "1 or more units");
@@ -220,12 +210,12 @@
     }
 }
 
-/// The hash under which a bearer key is kept.
+/// Returns the hash under which a bearer key is stored.
 pub fn hash_key(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
-/// Whether a text can be the hash of a key.
+/// Returns whether a text has the form of a key's hash.
 pub fn is_key_hash(text: &str) -> bool {
     text.len() == KEY_HASH_LEN && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/mastweir-core/src/time.rs
+++ b/crates/mastweir-core/src/time.rs
@@ -1,10 +1,9 @@
 //! Time as a value.
 //!
-//! Decisions must not read a clock, and leases and expiries must not depend on
-//! wall clocks that differ between instances. The one notion of time here is
-//! the monotonic time of one process, counted from its start. It is only ever
-//! compared with times of the same process; a message that carries one says
-//! whose it is.
+//! The crate never reads a clock, and leases and expiries must not depend on wall clocks
+//! that differ between instances. [`Uptime`] is the monotonic time of one process, counted
+//! from its start. Times of different processes are not comparable; messages that contain
+//! one also name the process.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -12,29 +11,26 @@
     time::Duration,
 };
 
-/// Microseconds since a process started, on its own monotonic clock.
+/// Microseconds since a process started, on its monotonic clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Uptime(pub u64);
 
 impl Uptime {
-    /// A whole number of seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1_000_000)
     }
 
-    /// A whole number of milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Time since `earlier`; zero if that lies ahead.
+    /// Returns the time since `earlier`; zero if that is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Seconds as a float, for rates.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -1,9 +1,10 @@
-//! The messages between mastweir's own processes.
+//! Messages between entry processes and agents.
 //!
-//! All are `postcard`. Over TCP they travel inside an authenticated channel,
-//! one attempt or one control exchange at a time on a connection; over UDP each
-//! datagram is a [`Packet`] with a keyed hash behind it. [`VERSION`] leads every
-//! handshake and datagram, and a process that reads another version drops it.
+//! All are encoded as `postcard`, so the order of fields and variants is part of the
+//! format. Over TCP they are sent as frames in an authenticated channel, which carries one
+//! attempt or one control exchange at a time. Over UDP each datagram is a [`Datagram`]
+//! followed by a keyed hash. Handshakes and datagrams contain [`VERSION`]; a process drops
+//! those of another version.
 
 use crate::{
     gateway::SuspectReport,
@@ -17,206 +18,195 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Version of every message here.
+/// Version of all messages in this module.
 pub const VERSION: u8 = 1;
-/// Bytes of one frame over TCP at most.
+/// Maximum size of a TCP frame, in bytes.
 pub const FRAME_MAX: usize = 60_000;
-/// Bytes of one datagram at most, so that it is not fragmented.
+/// Maximum size of a datagram, in bytes, so that it is not fragmented.
 pub const DATAGRAM_MAX: usize = 1_200;
-/// Bytes of a request body at most.
+/// Maximum size of a request body, in bytes.
 pub const BODY_MAX: usize = 1 << 20;
-/// Bytes of one piece of a body in a frame.
+/// Maximum size of a chunk of a body in a frame, in bytes.
 pub const CHUNK_MAX: usize = 32 << 10;
 
-/// An order to run an attempt; its body follows in [`ToAgent::Body`] frames.
+/// Starts an attempt; the request body follows in [`ToAgent::Body`] frames.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// Id of the request, for logs.
     pub request: String,
-    /// The operation.
     pub op: OpId,
-    /// The agent's life that it is for.
+    /// Incarnation of the agent that the attempt is for.
     pub fence: Fence,
-    /// Whether it may be repeated. If not, the ledger decides.
+    /// Whether the request may be sent more than once. If not, the agent's deduplication
+    /// table decides.
     pub repeatable: bool,
-    /// Agent's uptime past which the order is void.
+    /// Agent's uptime after which the attempt must not start.
     pub expires: Uptime,
-    /// Time left for the call, in milliseconds.
+    /// Time left for the request, in milliseconds.
     pub deadline_ms: u32,
-    /// First unit of the answer wanted.
+    /// Number of the first wanted unit of the response.
     pub from: u64,
-    /// Name of the service.
     pub service: String,
-    /// Name of the customer.
     pub customer: String,
     /// Effective weight of the customer, in thousandths.
     pub weight: u32,
-    /// Class of priority; 0 is served first.
+    /// Priority class; 0 is served first.
     pub class: u8,
     /// Estimated cost in service units, see [`crate::share::Cost`].
     pub cost: u32,
-    /// Units of its prompt, known beforehand.
+    /// Service units of the prompt.
     pub prefill: u32,
-    /// Units of a generated token, in thousandths.
+    /// Service units of a generated model token, in thousandths.
     pub decode_milli: u32,
-    /// HTTP method.
     pub method: String,
     /// Path and query at the server.
     pub path: String,
     /// Value of `content-type`, if any.
     pub content_type: Option<String>,
-    /// Bytes of the body that follows.
+    /// Size of the request body, in bytes.
     pub body_len: u32,
 }
 
 impl Start {
-    /// Service units of the request once so many tokens were generated.
+    /// Returns the service units of the request after `generated` model tokens.
     pub fn units(&self, generated: u64) -> u32 {
         let decode = Cost { prefill_milli: 0, decode_milli: self.decode_milli, fixed: 0 };
         self.prefill.saturating_add(decode.units(0, generated))
     }
 }
 
-/// A service of a server and the work on it.
+/// An agent's report on its load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// The agent's clock when it was taken.
+    /// Agent's uptime at the report.
     pub uptime: Uptime,
     /// Requests that wait at the agent.
     pub waiting: u16,
     /// Requests that run in the engine.
     pub running: u16,
-    /// Requests that run at once at most.
+    /// Maximum number of running requests.
     pub slots: u16,
     /// Service units that wait at the agent.
     pub backlog: u32,
-    /// Recent service rate, in units a second.
+    /// Recent service rate, in units per second.
     pub rate: u32,
-    /// Service units that a running request has left, on average.
+    /// Mean service units that a running request has left.
     pub mean_remaining: u32,
     /// Step time of the group's slowest rank, in microseconds.
     pub step_us: u32,
-    /// Slowest rank over mean, in thousandths.
+    /// Step time of the slowest rank over the mean, in thousandths.
     pub skew: u16,
-    /// Free room for KV cache, in thousandths.
+    /// Free part of the KV cache, in thousandths.
     pub kv_free: u16,
-    /// Version of the expert map in force.
+    /// Version of the current expert map.
     pub map_version: u64,
-    /// Changes when a rank here was replaced by one that knows nothing.
+    /// Changes when a rank of the server was replaced by one without state.
     pub rank_incarnations: u64,
     /// Whether the server is leaving.
     pub leaving: bool,
 }
 
-/// What a request has cost.
+/// Service units used by a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCost {
-    /// Service units used.
     pub units: u32,
 }
 
-/// From an entry to an agent.
+/// From an entry process to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Run an attempt.
+    /// Starts an attempt.
     Start(Box<Start>),
-    /// A piece of its body.
+    /// A chunk of the request body.
     Body(Vec<u8>),
-    /// Stop it.
+    /// Stops the attempt.
     Cancel,
-    /// A map order for the rank group behind the agent.
+    /// An expert map order for the rank group of the agent.
     Rank(RankOrder),
 }
 
-/// From an agent to an entry.
+/// From an agent to an entry process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromAgent {
-    /// The attempt was not taken.
+    /// The agent did not accept the attempt.
     Refused(Refusal, Load),
-    /// The head of the answer.
+    /// The head of the response.
     Head {
         /// HTTP status.
         status: u16,
         /// Value of `content-type`, if any.
         content_type: Option<String>,
     },
-    /// A unit of the answer's body.
+    /// A unit of the response body.
     Chunk {
-        /// Its number, from 0.
+        /// Number of the unit, from 0.
         at: u64,
-        /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// The answer is whole.
+    /// The response is complete.
     End(RequestCost, Load),
-    /// The answer will never be whole.
+    /// The response will not be completed.
     Broken(Load),
-    /// Answer to [`ToAgent::Rank`].
+    /// Answers [`ToAgent::Rank`].
     Rank(RankReply),
-    /// The answer will never be whole: the engine ended under it.
+    /// The response will not be completed, because the engine crashed during it.
     EngineCrashed(Load),
 }
 
-/// Between entries.
+/// Between entry processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// Asks for what the holder of the digest lacks.
+    /// Requests the changes that the holder of the digest lacks.
     Request(Digest),
-    /// A part of the answer.
+    /// A part of the changes.
     Rows {
-        /// The part.
         delta: Delta,
         /// Whether another part follows.
         more: bool,
     },
 }
 
-/// A datagram's content.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
-    /// An entry asks an agent for reports, which come for a while.
+    /// An entry process requests reports from an agent, which sends them for a while.
     Subscribe {
-        /// Time between two reports.
+        /// Time between two reports, in milliseconds.
         every_ms: u32,
     },
-    /// An agent's report.
+    /// An agent's report on its load.
     Report(Load),
-    /// What an entry says of itself to others of its hall: the version of its
-    /// table, whether it leaves.
+    /// State of an entry process, sent to others of its hall.
     Heartbeat {
-        /// Digest of the table in force, see [`crate::table::Digest`].
         table: Digest,
-        /// Rises with each heartbeat of the incarnation.
+        /// Increases with each heartbeat of the incarnation.
         beat: u64,
-        /// Whether it takes no new requests.
+        /// Whether the sender takes no new requests.
         leaving: bool,
-        /// Others that it has heard of.
+        /// Latest heartbeats of other entry processes that the sender knows.
         heard: Vec<Heartbeat>,
     },
-    /// Service that customers received, for the fleet-wide share.
+    /// Service that customers received, for fleet-wide shares.
     Usage(Usage),
-    /// Requests under which engines ended.
+    /// Requests during which engines crashed.
     Suspected(Vec<SuspectReport>),
 }
 
-/// A datagram: who sent it, and in which order.
+/// A datagram with its sender and sequence number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Version of the message.
+    /// Equal to [`VERSION`] at the sender.
     pub version: u8,
     /// Sender's name in the instance list.
     pub from: String,
-    /// Sender's incarnation.
     pub incarnation: Incarnation,
-    /// Rises with every datagram of the incarnation.
+    /// Increases with every datagram of the incarnation.
     pub seq: u64,
-    /// The content.
     pub packet: Packet,
 }
 
-/// Bytes of a message as `postcard` writes it; 0 if it can't be written.
+/// Returns the size of the encoded message in bytes; 0 if it can't be encoded.
 pub fn encoded_len<T: Serialize>(message: &T) -> usize {
     postcard::to_stdvec(message).map_or(0, |bytes| bytes.len())
 }
--- a/tests/testsuite/fuzz_table.rs
+++ b/tests/testsuite/fuzz_table.rs
@@ -1,33 +1,32 @@
-//! Stateful fuzz of the table: rows come by lists (also stale ones), watches
-//! and peers, in any order. What is in force never reverts, and what was
-//! accepted is in force once a process has come as far.
+//! Stateful fuzz test of the configuration table. Processes get rows by lists (also stale
+//! ones), watches and peers, in any order. Guards against versions that revert, and against
+//! rows that are missing from a table that claims to be complete.
 
 use mastweir_core::table::{Delta, Drain, Row, RowKey, RowKind, Table, VersionedRow};
 use proptest::{prelude::*, test_runner::Config};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use std::collections::BTreeMap;
 
-const HOLDERS: usize = 3;
+const PROCESSES: usize = 3;
 const ROWS: usize = 4;
 
-/// What happens next.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// An operator writes a row, or deletes it.
     Write(usize, bool),
-    /// A holder lists, as the platform was so many writes ago.
+    /// A process lists the rows as of so many writes ago.
     List(usize, usize),
-    /// A holder's watch delivers the next change after what it has.
+    /// A process's watch delivers the next change.
     Watch(usize),
-    /// A holder fetches what it lacks from another.
+    /// A process fetches the changes that it lacks from a peer.
     Fetch(usize, usize),
-    /// A holder's fetch is answered by what the other had before.
-    FetchLate(usize, usize),
-    /// A holder restarts with nothing.
+    /// A process gets the response to its previous fetch, and sends another.
+    DelayedFetch(usize, usize),
+    /// A process restarts with an empty table.
     Restart(usize),
 }
 
-/// The reference is the platform's history.
+/// The reference model: all writes, in order.
 #[derive(Clone, Debug)]
 pub struct History;
 
@@ -42,39 +41,39 @@
     }
 
     fn transitions(_: &Vec<Write>) -> BoxedStrategy<Step> {
-        let holder = 0..HOLDERS;
+        let process = 0..PROCESSES;
         prop_oneof![
-            4 => (0..ROWS, prop::bool::weighted(0.3)).prop_map(|(i, gone)| Step::Write(i, gone)),
-            2 => (holder.clone(), 0..6_usize).prop_map(|(i, age)| Step::List(i, age)),
-            4 => holder.clone().prop_map(Step::Watch),
-            4 => (holder.clone(), holder.clone()).prop_map(|(a, b)| Step::Fetch(a, b)),
-            1 => (holder.clone(), holder.clone()).prop_map(|(a, b)| Step::FetchLate(a, b)),
-            1 => holder.prop_map(Step::Restart),
+            4 => (0..ROWS, prop::bool::weighted(0.3)).prop_map(|(i, deleted)| Step::Write(i, deleted)),
+            2 => (process.clone(), 0..6_usize).prop_map(|(i, age)| Step::List(i, age)),
+            4 => process.clone().prop_map(Step::Watch),
+            4 => (process.clone(), process.clone()).prop_map(|(a, b)| Step::Fetch(a, b)),
+            1 => (process.clone(), process.clone()).prop_map(|(a, b)| Step::DelayedFetch(a, b)),
+            1 => process.prop_map(Step::Restart),
         ]
         .boxed()
     }
 
     fn apply(mut history: Vec<Write>, step: &Step) -> Vec<Write> {
-        if let Step::Write(i, gone) = step {
+        if let Step::Write(i, deleted) = step {
             let key = RowKey::new(RowKind::Drain, &format!("s{i}"));
             let reason = history.len().to_string();
-            let row = (!gone).then_some(Row::Drain(Drain { reason }));
+            let row = (!deleted).then_some(Row::Drain(Drain { reason }));
             history.push((key, row));
         }
         history
     }
 }
 
-/// The holders of a table, and a delta that is on its way to each.
+/// The tables of all processes.
 #[derive(Debug)]
-pub struct Holders {
+pub struct Processes {
     tables: Vec<Table>,
-    late: Vec<Option<Delta>>,
+    delayed: Vec<Option<Delta>>,
     seen: Vec<u64>,
 }
 
-/// The rows after the first `upto` writes, as a list gives them.
-fn listed(history: &[Write], upto: usize) -> Vec<VersionedRow> {
+/// Returns the rows after the first `upto` writes, as a list contains them.
+fn rows_after(history: &[Write], upto: usize) -> Vec<VersionedRow> {
     let mut rows: BTreeMap<RowKey, VersionedRow> = BTreeMap::new();
     for (i, (key, row)) in history[..upto].iter().enumerate() {
         let version = i as u64 + 1;
@@ -91,68 +90,68 @@
     rows.into_values().collect()
 }
 
-impl StateMachineTest for Holders {
+impl StateMachineTest for Processes {
     type SystemUnderTest = Self;
     type Reference = History;
 
     fn init_test(_: &Vec<Write>) -> Self {
         Self {
-            tables: vec![Table::default(); HOLDERS],
-            late: vec![None; HOLDERS],
-            seen: vec![0; HOLDERS],
+            tables: vec![Table::default(); PROCESSES],
+            delayed: vec![None; PROCESSES],
+            seen: vec![0; PROCESSES],
         }
     }
 
-    fn apply(mut holders: Self, history: &Vec<Write>, step: Step) -> Self {
+    fn apply(mut processes: Self, history: &Vec<Write>, step: Step) -> Self {
         match step {
             Step::Write(..) => (),
             Step::List(i, age) => {
                 let upto = history.len().saturating_sub(age);
-                let rows = listed(history, upto);
+                let rows = rows_after(history, upto);
                 let delta = Delta { after: 0, upto: upto as u64, rows };
-                holders.tables[i].merge(&delta);
+                processes.tables[i].merge(&delta);
             }
             Step::Watch(i) => {
-                let next = holders.tables[i].complete() as usize;
+                let next = processes.tables[i].complete() as usize;
                 if let Some((key, row)) = history.get(next) {
                     let version = next as u64 + 1;
                     let stored = VersionedRow { key: key.clone(), version, row: row.clone() };
-                    holders.tables[i].apply_event(stored);
+                    processes.tables[i].apply_event(stored);
                 }
             }
             Step::Fetch(i, from) => {
-                let delta = holders.tables[from].delta_since(holders.tables[i].digest());
-                holders.late[i] = Some(delta.clone());
-                holders.tables[i].merge(&delta);
+                let delta = processes.tables[from].delta_since(processes.tables[i].digest());
+                processes.delayed[i] = Some(delta.clone());
+                processes.tables[i].merge(&delta);
             }
-            Step::FetchLate(i, from) => {
-                let delta = holders.tables[from].delta_since(holders.tables[i].digest());
-                if let Some(late) = holders.late[i].replace(delta) {
-                    holders.tables[i].merge(&late);
+            Step::DelayedFetch(i, from) => {
+                let delta = processes.tables[from].delta_since(processes.tables[i].digest());
+                if let Some(delayed) = processes.delayed[i].replace(delta) {
+                    processes.tables[i].merge(&delayed);
                 }
             }
             Step::Restart(i) => {
-                holders.tables[i] = Table::default();
-                holders.late[i] = None;
-                holders.seen[i] = 0;
+                processes.tables[i] = Table::default();
+                processes.delayed[i] = None;
+                processes.seen[i] = 0;
             }
         }
-        for (table, seen) in holders.tables.iter().zip(&mut holders.seen) {
-            assert!(table.complete() >= *seen, "a table reverted");
+        for (table, seen) in processes.tables.iter().zip(&mut processes.seen) {
+            assert!(table.complete() >= *seen, "a table went back to an older version");
             *seen = table.complete();
         }
-        holders
+        processes
     }
 
-    fn check_invariants(holders: &Self, history: &Vec<Write>) {
-        for table in &holders.tables {
+    fn check_invariants(processes: &Self, history: &Vec<Write>) {
+        for table in &processes.tables {
             let complete = table.complete() as usize;
-            let wanted = listed(history, complete);
+            let expected = rows_after(history, complete);
             let held: Vec<(RowKey, Row)> =
                 table.rows().map(|(key, row)| (key.clone(), row.clone())).collect();
-            let wanted: Vec<(RowKey, Row)> =
-                wanted.into_iter().filter_map(|stored| Some((stored.key, stored.row?))).collect();
-            assert_eq!(held, wanted, "not what was accepted up to {complete}");
+            let expected: Vec<(RowKey, Row)> =
+                expected.into_iter().filter_map(|stored| Some((stored.key, stored.row?))).collect();
+            assert_eq!(held, expected, "rows differ from those accepted up to version {complete}");
         }
     }
 }
@@ -166,28 +165,26 @@
     })]
 
     #[test]
-    fn accepted_rows_are_in_force_and_never_revert(sequential 1..60 => Holders);
+    fn accepted_rows_are_present_and_never_revert(sequential 1..60 => Processes);
 }
 
-/// Found by the fuzz (seed 0x6d770003): a row that is deleted before a holder
-/// lists is not in the delta of that holder to one that still has the row.
+/// Guards against deltas that lack a deletion which the sender never saw.
 #[test]
-fn deletion_before_a_list_reaches_a_peer_that_is_behind() {
+fn deletion_before_a_list_reaches_a_lagging_peer() {
     let key = RowKey::new(RowKind::Drain, "s1");
     let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
-    let mut behind = Table::default();
-    behind.merge(&Delta { after: 0, upto: 0, rows: Vec::new() });
-    behind.apply_event(VersionedRow { key: key.clone(), version: 1, row });
+    let mut lagging = Table::default();
+    lagging.merge(&Delta { after: 0, upto: 0, rows: Vec::new() });
+    lagging.apply_event(VersionedRow { key: key.clone(), version: 1, row });
     let mut fresh = Table::default();
     fresh.merge(&Delta { after: 0, upto: 2, rows: Vec::new() });
-    behind.merge(&fresh.delta_since(behind.digest()));
-    assert_eq!(behind.get(&key), None);
+    lagging.merge(&fresh.delta_since(lagging.digest()));
+    assert_eq!(lagging.get(&key), None);
 }
 
-/// Found by the fuzz (seed 0x6d770003): a stale list brings a row back that was
-/// deleted before this holder listed first, so that it has no tombstone of it.
+/// Guards against a stale list that restores a row which was deleted before the first list.
 #[test]
-fn stale_list_does_not_bring_a_deleted_row_back() {
+fn stale_list_does_not_restore_a_deleted_row() {
     let key = RowKey::new(RowKind::Drain, "s1");
     let row = Some(Row::Drain(Drain { reason: "disk".to_owned() }));
     let mut table = Table::default();
