--- a/tests/testsuite/elections.rs
+++ b/tests/testsuite/elections.rs
@@ -1,5 +1,5 @@
-//! Who coordinates a group of 2 to 512 ranks, where polls go through heads and datagrams
-//! are lost: one coordinator after a bounded time, at few calls to the store.
+//! Elections of coordinators in groups of 2 to 512 ranks with lost datagrams: exactly one
+//! coordinator must emerge within a bounded time and with few calls to the store.
 
 use googletest::prelude::*;
 use mastweir_core::{
@@ -12,19 +12,20 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{net::SocketAddr, time::Duration};
 
-/// Steps of the simulated time, and a coordinator's polls in them.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
+/// Steps between two polls of a coordinator.
 const POLL_STEPS: u64 = 10;
-/// The store's answer to a read and a write.
+/// Steps from a request for the lease to the store's answer.
 const LEASE_STEPS: u64 = 2;
 
 struct Rank {
     election: Election,
     alive: bool,
-    /// Token, and what it knows of the others, while it coordinates.
-    leads: Option<(u64, GroupMembers)>,
-    /// When its lease is answered.
-    asked: Option<u64>,
+    /// Token and known members, while this rank is the coordinator.
+    coordinates: Option<(u64, GroupMembers)>,
+    /// Step at which the store answers its request for the lease.
+    request_due: Option<u64>,
 }
 
 struct Group {
@@ -33,7 +34,7 @@
     calls: usize,
     step: u64,
     lost_pct: u32,
-    /// Part of the members that gateways know of at first, in a hundred.
+    /// Percentage of the members that a new coordinator knows.
     listed_pct: u32,
     rng: SmallRng,
     messages: usize,
@@ -58,8 +59,8 @@
         let rank = |_| Rank {
             election: Election::new(Uptime::default()),
             alive: true,
-            leads: None,
-            asked: None,
+            coordinates: None,
+            request_due: None,
         };
         Self {
             ranks: (0..ranks).map(rank).collect(),
@@ -77,7 +78,7 @@
         Uptime::default() + STEP * self.step as u32
     }
 
-    fn passes(&mut self, to: usize) -> bool {
+    fn deliver(&mut self, to: usize) -> bool {
         self.messages += 1;
         self.ranks[to].alive && self.rng.random_range(0..100) >= self.lost_pct
     }
@@ -94,48 +95,48 @@
         members
     }
 
-    /// A rank hears a poll.
-    fn polled(&mut self, at: usize, token: u64) {
+    /// A rank receives a poll.
+    fn on_poll(&mut self, at: usize, token: u64) {
         let now = self.now();
         let rank = &mut self.ranks[at];
         rank.election.coordinator_seen(token, now);
-        if rank.leads.as_ref().is_some_and(|(own, _)| *own < token) {
-            rank.leads = None;
+        if rank.coordinates.as_ref().is_some_and(|(own, _)| *own < token) {
+            rank.coordinates = None;
             rank.election.restart(now);
         }
     }
 
-    fn poll(&mut self, lead: usize) {
+    fn poll(&mut self, coordinator: usize) {
         let now = self.now();
-        let Some((token, mut members)) = self.ranks[lead].leads.take() else { return };
-        self.ranks[lead].election.coordinator_seen(token, now);
-        for section in subtrees(&members, now) {
-            let (head, rest) = (number(section[0]), &section[1..]);
-            if head != lead && !self.passes(head) {
-                members.entry(section[0]).and_modify(|member| member.last_failure = Some(now));
+        let Some((token, mut members)) = self.ranks[coordinator].coordinates.take() else { return };
+        self.ranks[coordinator].election.coordinator_seen(token, now);
+        for subtree in subtrees(&members, now) {
+            let (aggregator, rest) = (number(subtree[0]), &subtree[1..]);
+            if aggregator != coordinator && !self.deliver(aggregator) {
+                members.entry(subtree[0]).and_modify(|member| member.last_failure = Some(now));
                 continue;
             }
-            self.polled(head, token);
+            self.on_poll(aggregator, token);
             for other in rest.iter().map(|addr| number(*addr)) {
-                if self.passes(other) {
-                    self.polled(other, token);
+                if self.deliver(other) {
+                    self.on_poll(other, token);
                 }
             }
-            if head == lead || self.passes(lead) {
-                for addr in &section {
+            if aggregator == coordinator || self.deliver(coordinator) {
+                for addr in &subtree {
                     members.entry(*addr).and_modify(|member| member.last_seen = Some(now));
                 }
             }
         }
-        // Ranks that are not polled say that they are there once they hear of it.
+        // Ranks that know the coordinator but are not polled report to it.
         for at in 0..self.ranks.len() {
-            let joins = self.ranks[at].election.token() == token && self.passes(lead);
+            let joins = self.ranks[at].election.token() == token && self.deliver(coordinator);
             if joins && !members.contains_key(&addr(at)) {
                 members.insert(addr(at), GroupMember::default());
             }
         }
-        if self.ranks[lead].election.token() == token {
-            self.ranks[lead].leads = Some((token, members));
+        if self.ranks[coordinator].election.token() == token {
+            self.ranks[coordinator].coordinates = Some((token, members));
         }
     }
 
@@ -147,19 +148,19 @@
             if !self.ranks[at].alive {
                 continue;
             }
-            if self.ranks[at].leads.is_some() {
+            if self.ranks[at].coordinates.is_some() {
                 if step % POLL_STEPS == at as u64 % POLL_STEPS {
                     self.poll(at);
                 }
                 continue;
             }
-            let asked = self.ranks[at].asked;
-            match asked {
-                Some(when) if when == step => self.take(at),
+            let request_due = self.ranks[at].request_due;
+            match request_due {
+                Some(when) if when == step => self.take_lease(at),
                 Some(_) => (),
                 None if self.ranks[at].election.is_due(at as u32, size, now) => {
                     self.calls += 1;
-                    self.ranks[at].asked = Some(step + LEASE_STEPS);
+                    self.ranks[at].request_due = Some(step + LEASE_STEPS);
                     self.ranks[at].election.restart(now);
                 }
                 None => (),
@@ -167,93 +168,90 @@
         }
     }
 
-    fn take(&mut self, at: usize) {
+    fn take_lease(&mut self, at: usize) {
         self.calls += 1;
-        self.ranks[at].asked = None;
+        self.ranks[at].request_due = None;
         let (lease, now) = (self.lease, self.now());
         if self.ranks[at].election.defers_to(lease, now) {
             return;
         }
         self.lease = self.lease.max(self.ranks[at].election.token()) + 1;
         let members = self.members();
-        self.ranks[at].leads = Some((self.lease, members));
+        self.ranks[at].coordinates = Some((self.lease, members));
     }
 
     fn run(&mut self, seconds: u64) {
         (0..seconds * 100).for_each(|_| self.step());
     }
 
-    fn leaders(&self) -> Vec<usize> {
+    fn coordinators(&self) -> Vec<usize> {
         (0..self.ranks.len())
-            .filter(|at| self.ranks[*at].alive && self.ranks[*at].leads.is_some())
+            .filter(|at| self.ranks[*at].alive && self.ranks[*at].coordinates.is_some())
             .collect()
     }
 }
 
 #[googletest::test]
-fn a_group_of_any_size_has_one_coordinator_soon() {
+fn groups_of_any_size_elect_one_coordinator() {
     for ranks in [2, 8, 32, 96, 512] {
         for (seed, lost_pct) in [(1, 0), (2, 3), (3, 10)] {
             let mut group = Group::new(ranks, seed);
             group.lost_pct = lost_pct;
             group.run(3);
-            expect_that!(group.leaders().len(), eq(1), "{ranks} ranks, {lost_pct} lost");
+            expect_that!(group.coordinators().len(), eq(1), "{ranks} ranks, {lost_pct} lost");
             expect_that!(group.calls, le(8), "{ranks} ranks, {lost_pct} lost");
-            // It stays the one: no more is asked for in half a minute.
+            // The coordinator stays in office.
             let calls = group.calls;
             group.run(30);
-            expect_that!(group.leaders().len(), eq(1), "{ranks} ranks, {lost_pct} lost");
+            expect_that!(group.coordinators().len(), eq(1), "{ranks} ranks, {lost_pct} lost");
             expect_that!(group.calls - calls, le(2), "{ranks} ranks, {lost_pct} lost");
         }
     }
 }
 
-/// Gateways that have just started know a part of the group; those left out must not
-/// elect one of their own again and again.
+/// Guards against members unknown to the coordinator electing another one again and again.
 #[googletest::test]
-fn a_coordinator_that_knows_a_part_of_its_group_is_not_outvoted_for_ever() {
+fn coordinator_with_partial_member_list_prevails() {
     for ranks in [32, 96, 512] {
         let mut group = Group::new(ranks, 9);
         group.listed_pct = 34;
         group.run(2);
         group.listed_pct = 100;
         group.run(18);
-        expect_that!(group.leaders().len(), eq(1), "{ranks} ranks");
+        expect_that!(group.coordinators().len(), eq(1), "{ranks} ranks");
         expect_that!(group.calls, le(24), "{ranks} ranks");
     }
 }
 
-/// The coordinator dies with the ranks that would be next.
+/// Guards against a group without a coordinator after the coordinator and the next ranks fail.
 #[googletest::test]
-fn a_dead_coordinator_is_followed_by_one() {
+fn failed_coordinator_is_replaced_by_one() {
     for ranks in [8, 96, 512] {
         let mut group = Group::new(ranks, 4);
         group.lost_pct = 2;
         group.run(5);
-        let leaders = group.leaders();
-        leaders.iter().for_each(|at| group.ranks[*at].alive = false);
+        let coordinators = group.coordinators();
+        coordinators.iter().for_each(|at| group.ranks[*at].alive = false);
         (0..3).for_each(|at| group.ranks[at].alive = false);
         let calls = group.calls;
         group.run(3);
-        expect_that!(group.leaders().len(), eq(1), "{ranks} ranks");
+        expect_that!(group.coordinators().len(), eq(1), "{ranks} ranks");
         expect_that!(group.calls - calls, le(8), "{ranks} ranks");
     }
 }
 
-/// Two ranks may ask for the lease at nearly one moment, since one waited for something
-/// else. The second must not take it from the first, unheard: what its predecessor left
-/// paused is then nobody's to take back, and the group stood for four seconds.
+/// Guards against a rank taking the lease from a new coordinator before its first poll arrives.
 #[googletest::test]
-fn a_lease_just_taken_is_left_to_its_holder() {
+fn lease_just_taken_is_left_to_its_holder() {
     let at = Uptime::from_millis;
     let mut election = Election::new(at(0));
     election.coordinator_seen(4, at(10_000));
     expect_that!(election.is_due(3, 8, at(10_700)), eq(true));
     expect_that!(election.defers_to(5, at(10_710)), eq(true));
     expect_that!(election.is_due(3, 8, at(11_300)), eq(false));
-    // It was not heard: it is gone itself.
+    // No poll has come since: the new coordinator has failed itself.
     expect_that!(election.is_due(3, 8, at(12_200)), eq(true));
     expect_that!(election.defers_to(5, at(12_200)), eq(false));
-    // One that has just started knows of no token.
+    // A rank that has just started knows no token.
     expect_that!(Election::new(at(0)).defers_to(5, at(900)), eq(false));
 }
--- a/tests/testsuite/fuzz_lease.rs
+++ b/tests/testsuite/fuzz_lease.rs
@@ -1,6 +1,5 @@
-//! Stateful fuzz of leases and members: processes that pause, writes whose
-//! replies are lost, clocks that run apart. Two never hold one lease in one
-//! epoch, and a member that is gone comes back only in a new life.
+//! Fuzz tests of leases and members with delays, lost replies and passing time: two processes must
+//! not hold a lease in one epoch, and an incarnation that left or was removed must not return.
 
 use mastweir_core::{
     id::{Fence, Incarnation},
@@ -19,7 +18,7 @@
 enum Step {
     /// A holder reads the record.
     Read(usize),
-    /// It writes what it planned by what it read; the reply may be lost.
+    /// A holder writes what it planned at its last read; the reply may be lost.
     Write(usize, bool),
     /// Time passes for all, in milliseconds.
     Pass(u64),
@@ -34,7 +33,7 @@
     prop::collection::vec(step, 1..120)
 }
 
-/// A write that a holder has planned: on which version, and since when.
+/// A planned write: version read, record, and time of the read.
 type Planned = (u64, LeaseRecord, Uptime);
 
 fn run_leases(steps: &[Step]) {
@@ -79,50 +78,53 @@
     }
 }
 
-/// What members hear: name, incarnation, beat, whether it leaves; or time.
+/// A heartbeat (member, incarnation, number, whether it leaves), or time that passes.
 #[derive(Clone, Debug)]
-enum News {
+enum Event {
     Heartbeat(usize, u64, u64, bool),
     Pass(u64),
 }
 
-fn news() -> impl Strategy<Value = Vec<News>> {
+fn events() -> impl Strategy<Value = Vec<Event>> {
     let heard = (0..3_usize, 1..4_u64, 1..50_u64, prop::bool::weighted(0.1));
-    let news = prop_oneof![
-        4 => heard.prop_map(|(i, life, beat, leaves)| News::Heartbeat(i, life, beat, leaves)),
-        2 => (1..20_000_u64).prop_map(News::Pass),
+    let events = prop_oneof![
+        4 => heard.prop_map(|(i, number, beat, leaves)| Event::Heartbeat(i, number, beat, leaves)),
+        2 => (1..20_000_u64).prop_map(Event::Pass),
     ];
-    prop::collection::vec(news, 1..80)
+    prop::collection::vec(events, 1..80)
 }
 
-fn run_members(news: &[News]) {
+fn run_members(events: &[Event]) {
     let mut now = Uptime::from_secs(1);
     let mut members = Members::new(Timing::default(), now);
     let mut done: HashMap<String, Incarnation> = HashMap::new();
-    for item in news {
+    for item in events {
         match item {
-            News::Heartbeat(i, life, beat, leaving) => {
+            Event::Heartbeat(i, number, beat, leaving) => {
                 let name = i.to_string();
-                let incarnation = Incarnation(*life);
+                let incarnation = Incarnation(*number);
                 members.on_heartbeat(
                     &Heartbeat { name, incarnation, beat: *beat, leaving: *leaving },
                     now,
                 );
             }
-            News::Pass(millis) => {
+            Event::Pass(millis) => {
                 now = now + Duration::from_millis(*millis);
                 members.tick(now);
             }
         }
         for i in 0..3 {
             let name = i.to_string();
-            let Some(life) = members.state(&name) else { continue };
-            let ended = matches!(life, MemberState::Removed(_) | MemberState::Leaving(_));
+            let Some(state) = members.state(&name) else { continue };
+            let ended = matches!(state, MemberState::Removed(_) | MemberState::Leaving(_));
             if ended {
                 let last = done.entry(name).or_default();
-                *last = (*last).max(life.incarnation());
+                *last = (*last).max(state.incarnation());
             } else if let Some(last) = done.get(&name) {
-                assert!(life.incarnation() > *last, "{name} came back in a life that had ended");
+                assert!(
+                    state.incarnation() > *last,
+                    "{name} came back in an incarnation that had ended"
+                );
             }
         }
     }
@@ -137,25 +139,24 @@
     })]
 
     #[test]
-    fn one_holder_an_epoch(steps in steps()) {
+    fn lease_has_one_holder_per_epoch(steps in steps()) {
         run_leases(&steps);
     }
 
     #[test]
-    fn ended_lives_stay_ended(news in news()) {
-        run_members(&news);
+    fn ended_incarnations_stay_ended(events in events()) {
+        run_members(&events);
     }
 }
 
-/// A mutation that the fuzz lets pass: late heartbeats of a former life must
-/// not keep the present one alive.
+/// Guards against late heartbeats of a previous incarnation keeping the current one alive.
 #[test]
-fn heartbeat_of_a_former_life_does_not_count() {
+fn heartbeat_of_previous_incarnation_is_ignored() {
     let mut now = Uptime::from_secs(1);
     let mut members = Members::new(Timing::default(), now);
-    let heard = |life, beat| Heartbeat {
+    let heard = |number, beat| Heartbeat {
         name: "e1".to_owned(),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(number),
         beat,
         leaving: false,
     };
--- a/tests/testsuite/fuzz_map_change.rs
+++ b/tests/testsuite/fuzz_map_change.rs
@@ -1,7 +1,6 @@
-//! Fuzz of the change of maps by orders, against the oracle "every pass, one map":
-//! orders that get no answer and are carried out later, coordinators that act
-//! beside their successors or stand still, ranks that can't be reached, groups
-//! that break, and servers that start again while orders of before are on their way. At the end a sound coordinator has to get the group going again.
+//! Fuzz test of map changes by fenced orders: whatever orders are lost, late or repeated and
+//! whatever coordinators, ranks and groups fail or restart, all ranks must use one map in each
+//! pass. At the end a new coordinator without failures must get the group running.
 
 use mastweir_core::switch::map_change::{
     Action, GroupSnapshot, Order, RankState, TargetMap, decide, version,
@@ -15,101 +14,100 @@
 
 const RANKS: usize = 3;
 const CASES: u32 = 3_000;
-/// As many as it takes to meet what is rare.
+/// Enough cases to reach rare interleavings.
 const MANY_CASES: u32 = 40_000;
 const STEPS: usize = 160;
-/// Looks in which a sound coordinator, alone, has to resume a paused group.
-const LOOKS_MAX: usize = 40;
+/// Decisions within which a single coordinator has to resume a paused group.
+const DECISIONS_MAX: usize = 40;
 
-/// What happens next; indices are taken modulo what is there.
+/// Indices are taken modulo the number of items.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// A coordinator reads a rank's state.
     Read(usize, usize),
     /// The newest coordinator reads all states, decides, and sends its orders.
-    Look,
+    DecideFresh,
     /// All orders in flight are carried out and answered.
     AnswerAll,
     /// A coordinator decides, and sends its orders.
     Decide(usize),
     /// An order in flight is carried out and answered.
     Answer(usize),
-    /// It is carried out, and its answer is lost.
+    /// An order in flight is carried out; its answer is lost.
     LoseAnswer(usize),
-    /// It is carried out now, answered, and carried out once more later.
+    /// An order is carried out and answered, and stays in flight to be carried out again.
     Repeat(usize),
-    /// A coordinator wants another map.
-    Want(usize),
-    /// Another coordinator takes over; the one before goes on unaware, or stands
-    /// still together with its rank.
+    /// A coordinator chooses a new target map.
+    ChooseTarget(usize),
+    /// Another coordinator takes over; the previous one continues unaware, or is suspended
+    /// together with its rank.
     Succeed(usize, bool),
-    /// Those that stood still go on.
+    /// Suspended coordinators resume.
     Wake,
-    /// A rank has loaded what it was told to.
-    Loaded(usize),
-    /// The group begins its next pass, if it may.
+    /// A rank finishes loading.
+    FinishLoad(usize),
+    /// The group begins its next pass if it is not paused.
     Pass,
-    /// The group breaks and forms anew.
-    Break,
-    /// A rank's server starts again, with counts and fences from nothing, and the group
-    /// forms anew; orders from before are still on their way.
-    StartAgain(usize),
+    /// The group fails and forms anew.
+    FormAnew,
+    /// A rank's server restarts without its counts and tokens, and the group forms anew; earlier
+    /// orders are still in flight.
+    Restart(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let any = 0..64_usize;
     let pair = (any.clone(), any.clone());
     prop_oneof![
-        12 => Just(Step::Look),
+        12 => Just(Step::DecideFresh),
         4 => Just(Step::AnswerAll),
         20 => pair.prop_map(|(c, r)| Step::Read(c, r)),
         20 => any.clone().prop_map(Step::Decide),
         24 => any.clone().prop_map(Step::Answer),
         4 => any.clone().prop_map(Step::LoseAnswer),
         4 => any.clone().prop_map(Step::Repeat),
-        4 => any.clone().prop_map(Step::Want),
-        2 => (any.clone(), proptest::bool::ANY).prop_map(|(r, still)| Step::Succeed(r, still)),
+        4 => any.clone().prop_map(Step::ChooseTarget),
+        2 => (any.clone(), proptest::bool::ANY).prop_map(|(r, s)| Step::Succeed(r, s)),
         2 => Just(Step::Wake),
-        1 => any.clone().prop_map(Step::StartAgain),
-        14 => any.prop_map(Step::Loaded),
+        1 => any.clone().prop_map(Step::Restart),
+        14 => any.prop_map(Step::FinishLoad),
         10 => Just(Step::Pass),
-        1 => Just(Step::Break),
+        1 => Just(Step::FormAnew),
     ]
 }
 
-/// What servers make of the tokens in their orders.
+/// How servers treat the fencing tokens of orders.
 #[derive(Clone, Copy, Debug)]
-enum Fences {
-    /// One that is lower than another seen before is refused.
+enum TokenChecks {
+    /// Orders with a lower token than one seen before are refused.
     Checked,
-    /// Any will do.
     Ignored,
 }
 
 #[derive(Clone, Debug)]
-struct Leader {
+struct CoordinatorState {
     token: u64,
     own: usize,
-    before: Option<usize>,
-    seen: Vec<Option<RankState>>,
-    wanted: Option<TargetMap>,
+    predecessor: Option<usize>,
+    states: Vec<Option<RankState>>,
+    target: Option<TargetMap>,
     versions: u64,
-    still: bool,
+    suspended: bool,
 }
 
-impl Leader {
-    fn want(&mut self) {
+impl CoordinatorState {
+    fn choose_target(&mut self) {
         self.versions += 1;
         let version = version(self.token, self.versions);
-        // The content names who wanted it.
+        // Each version has different content.
         let map = vec![vec![vec![u16::try_from(version % 60_000).unwrap_or(0)]; RANKS]];
-        self.wanted = Some(TargetMap { version, map: Arc::new(map) });
+        self.target = Some(TargetMap { version, map: Arc::new(map) });
     }
 }
 
 #[derive(Clone, Debug)]
-struct Flight {
-    leader: usize,
+struct InFlight {
+    coordinator: usize,
     rank: usize,
     order: Order,
 }
@@ -117,110 +115,120 @@
 #[derive(Debug)]
 struct World {
     ranks: Vec<OrderedRank>,
-    leaders: Vec<Leader>,
-    flights: Vec<Flight>,
+    coordinators: Vec<CoordinatorState>,
+    in_flight: Vec<InFlight>,
     pass: u64,
-    /// What was carried out, for the message of a failure.
-    story: Vec<String>,
+    /// Orders and passes carried out, shown on failure.
+    log: Vec<String>,
 }
 
 impl World {
-    fn new(fences: Fences) -> Self {
+    fn new(checks: TokenChecks) -> Self {
         let size = u32::try_from(RANKS).unwrap_or(0);
         let ranks = (0..size).map(|number| OrderedRank::new(number, size));
-        let ranks = match fences {
-            Fences::Checked => ranks.collect(),
-            Fences::Ignored => ranks.map(OrderedRank::unfenced).collect(),
+        let ranks = match checks {
+            TokenChecks::Checked => ranks.collect(),
+            TokenChecks::Ignored => ranks.map(OrderedRank::unfenced).collect(),
+        };
+        let mut world = Self {
+            ranks,
+            coordinators: Vec::new(),
+            in_flight: Vec::new(),
+            pass: 0,
+            log: Vec::new(),
         };
-        let mut world =
-            Self { ranks, leaders: Vec::new(), flights: Vec::new(), pass: 0, story: Vec::new() };
         world.succeed(0, false);
         world
     }
 
-    fn succeed(&mut self, own: usize, still: bool) {
-        let before = self.leaders.last().map(|leader| leader.own);
+    fn succeed(&mut self, own: usize, suspended: bool) {
+        let predecessor = self.coordinators.last().map(|coordinator| coordinator.own);
         let own = own % RANKS;
-        let own = if before == Some(own) { (own + 1) % RANKS } else { own };
-        if let Some(last) = self.leaders.last_mut() {
-            last.still = still;
+        let own = if predecessor == Some(own) { (own + 1) % RANKS } else { own };
+        if let Some(last) = self.coordinators.last_mut() {
+            last.suspended = suspended;
         }
-        self.leaders.push(Leader {
-            token: self.leaders.len() as u64 + 1,
+        self.coordinators.push(CoordinatorState {
+            token: self.coordinators.len() as u64 + 1,
             own,
-            before,
-            seen: vec![None; RANKS],
-            wanted: None,
+            predecessor,
+            states: vec![None; RANKS],
+            target: None,
             versions: 0,
-            still: false,
+            suspended: false,
         });
     }
 
-    fn is_still(&self, rank: usize) -> bool {
-        self.leaders.iter().any(|leader| leader.still && leader.own == rank)
+    fn is_suspended(&self, rank: usize) -> bool {
+        self.coordinators.iter().any(|coordinator| coordinator.suspended && coordinator.own == rank)
     }
 
-    fn read(&mut self, leader: usize, rank: usize) {
-        let state = (!self.is_still(rank)).then(|| self.ranks[rank].state.clone());
-        self.leaders[leader].seen[rank] = state;
+    fn read(&mut self, coordinator: usize, rank: usize) {
+        let state = (!self.is_suspended(rank)).then(|| self.ranks[rank].state.clone());
+        self.coordinators[coordinator].states[rank] = state;
     }
 
     fn decide(&mut self, number: usize) {
-        let leader = &mut self.leaders[number];
-        if leader.still {
+        let coordinator = &mut self.coordinators[number];
+        if coordinator.suspended {
             return;
         }
-        let predecessor = leader.before.filter(|rank| leader.seen[*rank].is_none());
-        let (own, token) = (leader.own, leader.token);
-        let view = GroupSnapshot { ranks: &leader.seen, own, token, predecessor, lookahead: 2 };
-        match decide(view, leader.wanted.as_ref()) {
+        let predecessor =
+            coordinator.predecessor.filter(|rank| coordinator.states[*rank].is_none());
+        let (own, token) = (coordinator.own, coordinator.token);
+        let group =
+            GroupSnapshot { ranks: &coordinator.states, own, token, predecessor, lookahead: 2 };
+        match decide(group, coordinator.target.as_ref()) {
             Action::Wait => {
-                let version = leader.wanted.as_ref().map(|wanted| wanted.version);
-                let done = leader.seen.iter().flatten().all(|seen| Some(seen.map) == version);
+                let version = coordinator.target.as_ref().map(|target| target.version);
+                let done =
+                    coordinator.states.iter().flatten().all(|state| Some(state.map) == version);
                 if done {
-                    leader.wanted = None;
+                    coordinator.target = None;
                 }
             }
-            Action::NeedTarget => leader.want(),
+            Action::NeedTarget => coordinator.choose_target(),
             Action::Orders(orders) => {
                 for (rank, kind) in orders {
-                    let Some(seen) = &leader.seen[rank] else { continue };
+                    let Some(state) = &coordinator.states[rank] else { continue };
                     let order = Order {
-                        token: leader.token,
-                        order_seq: seen.order_seq,
-                        epoch: seen.epoch,
+                        token: coordinator.token,
+                        order_seq: state.order_seq,
+                        epoch: state.epoch,
                         kind,
                     };
-                    self.flights.push(Flight { leader: number, rank, order });
+                    self.in_flight.push(InFlight { coordinator: number, rank, order });
                 }
             }
         }
     }
 
-    /// Carries an order out; the leader hears of it if `answered`.
+    /// Carries out an order; the coordinator reads the new state if `answered`.
     fn deliver(&mut self, at: usize, answered: bool, again: bool) {
-        if self.flights.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = at % self.flights.len();
-        let flight = self.flights[at].clone();
+        let at = at % self.in_flight.len();
+        let flight = self.in_flight[at].clone();
         if !again {
-            self.flights.remove(at);
+            self.in_flight.remove(at);
         }
-        let taken = self.ranks[flight.rank].take(&flight.order);
+        let outcome = self.ranks[flight.rank].take(&flight.order);
         let (token, rank, kind) = (flight.order.token, flight.rank, &flight.order.kind);
-        self.story.push(format!("token {token}, rank {rank}: {kind:?} {taken:?}"));
-        let reached = !self.is_still(flight.rank) && !self.leaders[flight.leader].still;
+        self.log.push(format!("token {token}, rank {rank}: {kind:?} {outcome:?}"));
+        let reached =
+            !self.is_suspended(flight.rank) && !self.coordinators[flight.coordinator].suspended;
         if answered && reached {
-            self.read(flight.leader, flight.rank);
+            self.read(flight.coordinator, flight.rank);
         }
     }
 
     fn wake(&mut self) {
-        for leader in self.leaders.iter_mut().filter(|leader| leader.still) {
-            leader.still = false;
-            // What it knew is too old by now.
-            leader.seen = vec![None; RANKS];
+        for coordinator in self.coordinators.iter_mut().filter(|coordinator| coordinator.suspended)
+        {
+            coordinator.suspended = false;
+            // The states read before the suspension are too old.
+            coordinator.states = vec![None; RANKS];
         }
     }
 
@@ -230,55 +238,55 @@
             return Ok(());
         }
         self.pass = next;
-        self.story.push(format!("pass {next}"));
+        self.log.push(format!("pass {next}"));
         self.ranks.iter_mut().for_each(|rank| rank.begin(next));
         let first = &self.ranks[0];
         for rank in &self.ranks {
-            prop_assert_eq!(rank.state.map, first.state.map, "versions differ, {:#?}", self.story);
-            prop_assert_eq!(&rank.map, &first.map, "contents differ, {:#?}", self.story);
+            prop_assert_eq!(rank.state.map, first.state.map, "versions differ, {:#?}", self.log);
+            prop_assert_eq!(&rank.map, &first.map, "contents differ, {:#?}", self.log);
         }
         Ok(())
     }
 
-    fn break_up(&mut self) {
+    fn form_anew(&mut self) {
         self.ranks.iter_mut().for_each(OrderedRank::form_anew);
     }
 
     fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
-        let leaders = self.leaders.len();
+        let coordinators = self.coordinators.len();
         match step {
-            Step::Read(leader, rank) => self.read(leader % leaders, rank % RANKS),
-            Step::Look => {
-                (0..RANKS).for_each(|rank| self.read(leaders - 1, rank));
-                self.decide(leaders - 1);
+            Step::Read(coordinator, rank) => self.read(coordinator % coordinators, rank % RANKS),
+            Step::DecideFresh => {
+                (0..RANKS).for_each(|rank| self.read(coordinators - 1, rank));
+                self.decide(coordinators - 1);
             }
             Step::AnswerAll => {
-                while !self.flights.is_empty() {
+                while !self.in_flight.is_empty() {
                     self.deliver(0, true, false);
                 }
             }
-            Step::Decide(leader) => self.decide(leader % leaders),
+            Step::Decide(coordinator) => self.decide(coordinator % coordinators),
             Step::Answer(at) => self.deliver(at, true, false),
             Step::LoseAnswer(at) => self.deliver(at, false, false),
             Step::Repeat(at) => self.deliver(at, true, true),
-            Step::Want(leader) => {
-                let leader = &mut self.leaders[leader % leaders];
-                let busy = leader
-                    .seen
+            Step::ChooseTarget(coordinator) => {
+                let coordinator = &mut self.coordinators[coordinator % coordinators];
+                let busy = coordinator
+                    .states
                     .iter()
                     .flatten()
-                    .any(|seen| seen.paused.is_some() || seen.scheduled.is_some());
+                    .any(|state| state.paused.is_some() || state.scheduled.is_some());
                 if !busy {
-                    leader.want();
+                    coordinator.choose_target();
                 }
             }
-            Step::Succeed(own, still) if leaders < 4 => self.succeed(own, still),
+            Step::Succeed(own, suspended) if coordinators < 4 => self.succeed(own, suspended),
             Step::Succeed(..) => (),
             Step::Wake => self.wake(),
-            Step::Loaded(rank) => self.ranks[rank % RANKS].finish_load(),
+            Step::FinishLoad(rank) => self.ranks[rank % RANKS].finish_load(),
             Step::Pass => self.begin_pass()?,
-            Step::Break => self.break_up(),
-            Step::StartAgain(rank) => {
+            Step::FormAnew => self.form_anew(),
+            Step::Restart(rank) => {
                 let others = (0..RANKS).filter(|other| *other != rank % RANKS);
                 others.for_each(|other| self.ranks[other].form_anew());
                 self.ranks[rank % RANKS].start_again();
@@ -287,33 +295,33 @@
         Ok(())
     }
 
-    /// A sound coordinator, alone, gets the group going.
+    /// Checks that a single coordinator without failures gets the group running.
     fn recover(&mut self) -> Result<(), TestCaseError> {
         self.wake();
-        self.flights.clear();
-        self.succeed(self.leaders.len(), false);
-        let last = self.leaders.len() - 1;
-        for _ in 0..LOOKS_MAX {
+        self.in_flight.clear();
+        self.succeed(self.coordinators.len(), false);
+        let last = self.coordinators.len() - 1;
+        for _ in 0..DECISIONS_MAX {
             (0..RANKS).for_each(|rank| self.read(last, rank));
             self.decide(last);
-            while !self.flights.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, true, false);
             }
             self.ranks.iter_mut().for_each(OrderedRank::finish_load);
             self.begin_pass()?;
         }
         let paused = self.ranks.iter().any(|rank| rank.state.paused.is_some());
-        prop_assert!(!paused, "still paused, {:#?}", self.story);
+        prop_assert!(!paused, "still paused, {:#?}", self.log);
         Ok(())
     }
 }
 
-fn fuzz(cases: u32, fences: Fences) {
+fn fuzz(cases: u32, checks: TokenChecks) {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let steps = prop::collection::vec(step(), STEPS);
     let result = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
-        let mut world = World::new(fences);
+        let mut world = World::new(checks);
         for step in steps {
             world.apply(step)?;
         }
@@ -325,16 +333,16 @@
 }
 
 #[test]
-fn every_pass_has_one_map() {
-    fuzz(CASES, Fences::Checked);
+fn all_ranks_use_one_map_in_every_pass() {
+    fuzz(CASES, TokenChecks::Checked);
 }
 
 #[test]
-fn one_map_in_forty_thousand_cases() {
-    fuzz(MANY_CASES, Fences::Checked);
+fn all_ranks_use_one_map_in_many_cases() {
+    fuzz(MANY_CASES, TokenChecks::Checked);
 }
 
 #[test]
-fn one_map_where_servers_ignore_tokens() {
-    fuzz(MANY_CASES, Fences::Ignored);
+fn all_ranks_use_one_map_where_servers_ignore_tokens() {
+    fuzz(MANY_CASES, TokenChecks::Ignored);
 }
--- a/tests/testsuite/fuzz_switch.rs
+++ b/tests/testsuite/fuzz_switch.rs
@@ -1,6 +1,5 @@
-//! Stateful fuzz of the switch against the oracle "per step one map": orders
-//! and replies late, lost and doubled, coordinators that die, are paused and
-//! act beside their successor, ranks that stall and are replaced.
+//! Stateful fuzz test of map changes through barriers: whatever messages are late, lost or repeated
+//! and whatever coordinators and ranks fail or stall, all ranks must use one map in each step.
 
 use mastweir_core::{
     id::Incarnation,
@@ -12,7 +11,7 @@
 
 const RANKS: usize = 3;
 
-/// What happens next; indices are taken modulo what is there.
+/// Indices are taken modulo the number of items.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A coordinator sends its orders.
@@ -23,25 +22,25 @@
     Reply(usize, bool),
     /// An order or a reply is lost.
     Lose(usize),
-    /// A new coordinator takes the lease; the old one goes on unaware.
+    /// A new coordinator takes the lease; the old one continues unaware.
     Succeed,
-    /// A coordinator wants the next map.
-    Want(usize),
-    /// A coordinator gives its switch up.
-    GiveUp(usize),
-    /// A rank has loaded all maps that were ever wanted.
+    /// A coordinator begins to change to the next map.
+    BeginChange(usize),
+    /// A coordinator aborts its change.
+    Abort(usize),
+    /// A rank has loaded all maps so far.
     Load(usize),
-    /// A rank begins a step if it may.
+    /// A rank begins its next step if it may.
     Begin(usize),
-    /// A rank is replaced by one that knows nothing.
+    /// A rank is replaced by a new incarnation.
     Replace(usize),
 }
 
-/// The reference knows nothing: the promise is checked on the world.
+/// Empty reference model; the invariants are checked on the world.
 #[derive(Clone, Debug)]
-pub struct Promise;
+pub struct EmptyReference;
 
-impl ReferenceStateMachine for Promise {
+impl ReferenceStateMachine for EmptyReference {
     type State = ();
     type Transition = Step;
 
@@ -57,8 +56,8 @@
             12 => (any.clone(), prop::bool::weighted(0.1)).prop_map(|(i, b)| Step::Reply(i, b)),
             1 => any.clone().prop_map(Step::Lose),
             1 => Just(Step::Succeed),
-            2 => any.clone().prop_map(Step::Want),
-            1 => any.clone().prop_map(Step::GiveUp),
+            2 => any.clone().prop_map(Step::BeginChange),
+            1 => any.clone().prop_map(Step::Abort),
             4 => any.clone().prop_map(Step::Load),
             12 => any.clone().prop_map(Step::Begin),
             1 => any.prop_map(Step::Replace),
@@ -77,17 +76,17 @@
     reply: Option<RankReply>,
 }
 
-/// The world: coordinators of all epochs, ranks, and messages on their way.
+/// Coordinators of all epochs, ranks, and messages in flight.
 #[derive(Debug)]
 pub struct World {
     coordinators: Vec<Coordinator>,
     ranks: Vec<Rank>,
-    /// The step that a rank is in; it stays there until all have begun it.
+    /// The step that each rank is in. It ends when all have begun it.
     inside: Vec<Option<StepNumber>>,
     messages: Vec<Message>,
     maps: BTreeMap<StepNumber, MapVersion>,
-    wanted: MapVersion,
-    births: u64,
+    latest_map: MapVersion,
+    incarnations: u64,
     completed: u64,
 }
 
@@ -98,18 +97,18 @@
         }
     }
 
-    /// Delivers the `i`-th message of its kind; a copy may stay on its way.
+    /// Delivers the `i`-th message of its kind; a copy may stay in flight.
     fn deliver(&mut self, i: usize, again: bool, reply: bool) {
         let of_kind = |message: &Message| message.reply.is_some() == reply;
-        let places: Vec<usize> =
+        let positions: Vec<usize> =
             (0..self.messages.len()).filter(|&i| of_kind(&self.messages[i])).collect();
-        if places.is_empty() {
+        if positions.is_empty() {
             return;
         }
-        let place = places[i % places.len()];
-        let message = self.messages[place];
+        let position = positions[i % positions.len()];
+        let message = self.messages[position];
         if !again {
-            self.messages.remove(place);
+            self.messages.remove(position);
         }
         let Message { coordinator, rank, order, reply } = message;
         match reply {
@@ -138,21 +137,21 @@
     }
 
     fn replace(&mut self, rank: usize) {
-        self.births += 1;
-        self.ranks[rank] = Rank::new(Incarnation(self.births));
+        self.incarnations += 1;
+        self.ranks[rank] = Rank::new(Incarnation(self.incarnations));
         self.inside[rank] = None;
-        // The instance list shows it to the coordinator in office.
+        // The current coordinator learns of it from the instance list.
         if let Some(coordinator) = self.coordinators.last_mut() {
             coordinator.reseal();
         }
     }
 
-    /// All goes well for a while: the group has to run again.
+    /// Runs without failures, so that the group has to make progress again.
     fn settle(&mut self) {
         self.messages.clear();
         let last = self.coordinators.len() - 1;
         for _ in 0..60 {
-            self.ranks.iter_mut().for_each(|rank| rank.load(self.wanted));
+            self.ranks.iter_mut().for_each(|rank| rank.load(self.latest_map));
             self.send(last);
             while !self.messages.is_empty() {
                 self.deliver(0, false, false);
@@ -165,7 +164,7 @@
 
 impl StateMachineTest for World {
     type SystemUnderTest = Self;
-    type Reference = Promise;
+    type Reference = EmptyReference;
 
     fn init_test((): &()) -> Self {
         Self {
@@ -174,8 +173,8 @@
             inside: vec![None; RANKS],
             messages: Vec::new(),
             maps: BTreeMap::new(),
-            wanted: MapVersion(1),
-            births: RANKS as u64,
+            latest_map: MapVersion(1),
+            incarnations: RANKS as u64,
             completed: 0,
         }
     }
@@ -187,24 +186,24 @@
             Step::Order(i, again) => world.deliver(i, again, false),
             Step::Reply(i, again) => world.deliver(i, again, true),
             Step::Lose(i) if !world.messages.is_empty() => {
-                let place = i % world.messages.len();
-                world.messages.remove(place);
+                let position = i % world.messages.len();
+                world.messages.remove(position);
             }
             Step::Succeed => {
                 let epoch = coordinators as u64 + 1;
                 world.coordinators.push(Coordinator::new(epoch, RANKS, MapVersion(1)));
             }
-            Step::Want(i) => {
-                world.wanted.0 += 1;
-                let wanted = world.wanted;
-                world.coordinators[i % coordinators].begin(wanted);
+            Step::BeginChange(i) => {
+                world.latest_map.0 += 1;
+                let latest_map = world.latest_map;
+                world.coordinators[i % coordinators].begin(latest_map);
             }
-            Step::GiveUp(i) => {
+            Step::Abort(i) => {
                 world.coordinators[i % coordinators].abort();
             }
             Step::Load(rank) => {
-                let wanted = world.wanted;
-                world.ranks[rank % RANKS].load(wanted);
+                let latest_map = world.latest_map;
+                world.ranks[rank % RANKS].load(latest_map);
             }
             Step::Begin(rank) => world.begin(rank % RANKS),
             Step::Replace(rank) => world.replace(rank % RANKS),
@@ -217,9 +216,9 @@
         world.settle();
         let before = world.completed;
         world.settle();
-        assert!(world.completed > before, "the group stands still: {world:#?}");
+        assert!(world.completed > before, "the group makes no progress: {world:#?}");
         let last = world.coordinators.last().map(Coordinator::progress);
-        assert!(matches!(last, Some(Progress::Steady(_))), "no end: {last:?}");
+        assert!(matches!(last, Some(Progress::Steady(_))), "the change does not end: {last:?}");
     }
 }
 
@@ -232,14 +231,13 @@
     })]
 
     #[test]
-    fn one_map_in_every_step(sequential 1..200 => World);
+    fn all_ranks_use_one_map_in_every_step(sequential 1..200 => World);
 }
 
-/// Found by the fuzz (seed 0x6d770002, 1,500 cases): a seal and then a grant
-/// that were meant for a rank's former life reached its next one late, which
-/// began anew at a step that the others had left.
+/// Guards against late orders for a previous incarnation making a replaced rank begin steps that
+/// the others have left.
 #[test]
-fn order_for_a_former_life_is_refused() {
+fn order_for_previous_incarnation_is_refused() {
     let incarnation = Some(Incarnation(1));
     let order = |round, verb| Order { epoch: 1, round, incarnation, verb };
     let mut replaced = Rank::new(Incarnation(2));
@@ -250,8 +248,7 @@
     assert_eq!(replaced.next_step(), None);
 }
 
-/// Two mutations that the fuzz lets pass: a rank that takes orders of an epoch
-/// that has not sealed it, and one that takes orders of an earlier round.
+/// Guards two checks whose absence the fuzz test does not detect.
 #[test]
 fn orders_of_an_unsealed_epoch_or_an_earlier_round_are_refused() {
     let incarnation = Some(Incarnation(1));
