--- a/tests/testsuite/busy_server.rs
+++ b/tests/testsuite/busy_server.rs
@@ -1,21 +1,6 @@
-//! A server that asks for a pause gets its requests all the same.
-//!
-//! Five servers turned requests away with 503 and named 3 s in which they wanted none. The
-//! gateways took each refusal as word about the one request that had met it, and sent that
-//! one elsewhere. The next request was sent by load, and a server that turns everything away
-//! looks emptier with each refusal; so it got more of them than those that served, and callers
-//! were told to come back by servers that had nothing to give.
-//!
-//! The header that says how long was read nowhere, and so was the one by which a server that
-//! leaves says so in its answers; while the store is away nothing else tells it.
-//!
-//! Two lines of one gateway settled it: another request each, and a load that falls from 175
-//! to 8 thousandths while the server takes none.
-//!
-//! ```text
-//! 6.026  {"msg":"server refused","load_milli":175,"proof":"Refused","server":"i-0881f4ede4"}
-//! 9.284  {"msg":"server refused","load_milli":8,"proof":"Refused","server":"i-0881f4ede4"}
-//! ```
+//! Guards against requests to servers that asked for a backoff or stated that they are
+//! leaving. A server that refuses everything looks idle, so choosing by load alone would
+//! prefer it.
 
 use crate::gateway::{answer, chunk, last_chunk, stream_head};
 use eyre::Result;
@@ -35,30 +20,30 @@
 };
 use tokio::time;
 
-/// Pause that busy servers ask for, in seconds.
-const PAUSE_S: u64 = 3;
-/// Time after which a leaving server gets nothing more, as the site's settings have it.
+/// Backoff that busy servers ask for, in seconds.
+const BACKOFF_S: u64 = 3;
+/// Time after which a leaving server gets no more requests, as in the site's settings.
 const DRAIN: Duration = Duration::from_secs(2);
 /// Pause between two requests of the callers.
-const NEXT: Duration = Duration::from_millis(40);
-/// An objective by which a request that finds no room would wait for longer than the pause.
+const PAUSE: Duration = Duration::from_millis(40);
+/// An objective that would let a request wait for longer than the backoff.
 const PATIENT_MS: u64 = 60_000;
 
 const KINDS: [&str; 3] = ["safe", "unsafe", "streaming"];
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    Sound,
-    /// It turns everything away, and asks for a pause.
+enum Behavior {
+    Healthy,
+    /// Refuses everything and asks for a backoff.
     Busy,
-    /// It serves, and says that it leaves.
+    /// Serves, and states that it is leaving.
     Leaving,
 }
 
-/// What servers and callers saw.
+/// State of the servers and callers.
 #[derive(Debug, Default)]
-struct Seen {
+struct State {
     /// When callers sent requests, and through which gateway.
     sent: HashMap<String, (usize, Instant)>,
     /// What each server asked for.
@@ -67,51 +52,51 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Notes(Arc<Mutex<Seen>>);
+struct SharedState(Arc<Mutex<State>>);
 
-impl Notes {
-    fn seen(&self) -> MutexGuard<'_, Seen> {
+impl SharedState {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A request reaches a server, which answers in its way.
-    fn arrived(&self, server: usize, way: Way, got: &Got) {
+    /// Records a request at a server, which answers by its behavior.
+    fn arrived(&self, server: usize, behavior: Behavior, got: &Got) {
         let now = Instant::now();
-        let mut seen = self.seen();
+        let mut state = self.lock();
         let id = got.header("request-id").unwrap_or_default();
-        let Some((gateway, sent)) = seen.sent.get(id).copied() else { return };
-        let asked = seen.asked.entry(server).or_default();
+        let Some((gateway, sent)) = state.sent.get(id).copied() else { return };
+        let asked = state.asked.entry(server).or_default();
         let broken = asked.arrived(gateway, sent, DRAIN, now);
-        match way {
-            Way::Sound => (),
-            Way::Busy => asked.told_pause(gateway, Duration::from_secs(PAUSE_S), now),
-            Way::Leaving => asked.told_leaving(gateway, now),
+        match behavior {
+            Behavior::Healthy => (),
+            Behavior::Busy => asked.told_pause(gateway, Duration::from_secs(BACKOFF_S), now),
+            Behavior::Leaving => asked.told_leaving(gateway, now),
         }
-        seen.broken.extend(broken.map(|what| format!("server {server}: {what}")));
+        state.broken.extend(broken.map(|what| format!("server {server}: {what}")));
     }
 }
 
-fn script(got: &Got, way: Way, kind: &str) -> Vec<Act> {
+fn script(got: &Got, behavior: Behavior, kind: &str) -> Vec<Act> {
     let id = got.header("request-id").unwrap_or_default();
-    match way {
-        Way::Busy => vec![Act::Send(
+    match behavior {
+        Behavior::Busy => vec![Act::Send(
             format!(
                 "HTTP/1.1 503 Service Unavailable\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\n\
-                 Retry-After: {PAUSE_S}\r\nContent-Length: 0\r\n\r\n"
+                 Retry-After: {BACKOFF_S}\r\nContent-Length: 0\r\n\r\n"
             )
             .into_bytes(),
         )],
-        Way::Leaving => vec![Act::Send(
+        Behavior::Leaving => vec![Act::Send(
             format!(
                 "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Signature: sig\r\n\
                  Server-Leaving: 1\r\nContent-Length: 5\r\n\r\nwhole"
             )
             .into_bytes(),
         )],
-        Way::Sound if kind == "streaming" => {
+        Behavior::Healthy if kind == "streaming" => {
             vec![stream_head(got), chunk("id: 1\ndata: a\n\n"), last_chunk()]
         }
-        Way::Sound => vec![answer(got, "200 OK", "whole")],
+        Behavior::Healthy => vec![answer(got, "200 OK", "whole")],
     }
 }
 
@@ -120,20 +105,20 @@
     store: Served,
     gateways: Vec<Running>,
     servers: Vec<Scripted>,
-    notes: Notes,
+    state: SharedState,
     sent: usize,
 }
 
 impl World {
-    async fn new(kind: &'static str, objective_ms: u64, ways: &[Way]) -> Result<Self> {
+    async fn new(kind: &'static str, objective_ms: u64, behaviors: &[Behavior]) -> Result<Self> {
         let site = Site::new(2)?;
-        let notes = Notes::default();
+        let state = SharedState::default();
         let mut servers = Vec::new();
-        for (number, way) in ways.iter().copied().enumerate() {
-            let seen = notes.clone();
+        for (number, behavior) in behaviors.iter().copied().enumerate() {
+            let shared = state.clone();
             let server = Scripted::start(move |got| {
-                seen.arrived(number, way, got);
-                script(got, way, kind)
+                shared.arrived(number, behavior, got);
+                script(got, behavior, kind)
             });
             let server = server.await?;
             site.list(&format!("i-{number}"), &server, "ready");
@@ -148,32 +133,32 @@
         for gateway in &gateways {
             gateway.wait_ready().await?;
         }
-        Ok(Self { _site: site, store, gateways, servers, notes, sent: 0 })
+        Ok(Self { _site: site, store, gateways, servers, state, sent: 0 })
     }
 
-    /// A caller sends a request, through the gateways in turn.
+    /// Sends a request, through the gateways in turn.
     async fn call(&mut self) -> Result<Answer> {
         let gateway = self.sent % self.gateways.len();
         let id = format!("r-{}", self.sent);
         self.sent += 1;
-        self.notes.seen().sent.insert(id.clone(), (gateway, Instant::now()));
+        self.state.lock().sent.insert(id.clone(), (gateway, Instant::now()));
         let bytes = request("POST", "/draft/a", &id, "Request-Deadline: 4000\r\n", "body");
         exchange(self.gateways[gateway].callers, &bytes).await
     }
 
-    /// Callers come one behind the other for so long; gives their answers' statuses.
-    async fn calls(&mut self, lasts: Duration) -> Result<Vec<u16>> {
-        let end = Instant::now() + lasts;
+    /// Sends requests one after the other for a time. Returns the statuses of the answers.
+    async fn calls(&mut self, duration: Duration) -> Result<Vec<u16>> {
+        let end = Instant::now() + duration;
         let mut statuses = Vec::new();
         while Instant::now() < end {
             statuses.push(self.call().await?.status);
-            time::sleep(NEXT).await;
+            time::sleep(PAUSE).await;
         }
         Ok(statuses)
     }
 
     fn broken(&self) -> Vec<String> {
-        self.notes.seen().broken.clone()
+        self.state.lock().broken.clone()
     }
 
     fn got(&self, server: usize) -> usize {
@@ -181,29 +166,29 @@
     }
 }
 
-/// One of four servers asks for a pause. The others serve meanwhile, and every caller.
+/// One of four servers asks for a backoff. The others serve every caller meanwhile.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_nothing_until_its_pause_is_over() -> Result<()> {
+async fn gets_no_requests_during_backoff() -> Result<()> {
     for kind in KINDS {
-        let ways = [Way::Busy, Way::Sound, Way::Sound, Way::Sound];
-        let mut world = World::new(kind, 400, &ways).await?;
-        // Each gateway hears of it again behind the end of the first pause.
-        let statuses = world.calls(Duration::from_secs(PAUSE_S * 2)).await?;
+        let behaviors = [Behavior::Busy, Behavior::Healthy, Behavior::Healthy, Behavior::Healthy];
+        let mut world = World::new(kind, 400, &behaviors).await?;
+        // Each gateway is told again after the end of the first backoff.
+        let statuses = world.calls(Duration::from_secs(BACKOFF_S * 2)).await?;
         expect_that!(statuses, each(eq(&200)), "{kind}");
         expect_that!(world.broken(), is_empty(), "{kind}");
-        expect_that!(world.got(0), ge(2), "{kind}: it was never asked");
+        expect_that!(world.got(0), ge(2), "{kind}: got no request");
     }
     Ok(())
 }
 
-/// All servers ask for a pause: callers are refused at once, and told when it ends. Where a
-/// request waited for room as it does at full servers, it would outlast the pause here.
+/// All servers ask for a backoff: callers are refused at once with the time of its end,
+/// although the objective would let them wait for longer.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn has_callers_refused_where_no_other_can_serve() -> Result<()> {
+async fn callers_are_refused_when_all_back_off() -> Result<()> {
     for kind in KINDS {
-        let mut world = World::new(kind, PATIENT_MS, &[Way::Busy, Way::Busy]).await?;
+        let mut world = World::new(kind, PATIENT_MS, &[Behavior::Busy, Behavior::Busy]).await?;
         let statuses = world.calls(Duration::from_millis(600)).await?;
         expect_that!(statuses, each(eq(&503)), "{kind}");
         let before = (world.got(0), world.got(1));
@@ -211,8 +196,8 @@
         expect_that!(last.status, eq(503), "{kind}");
         expect_that!((world.got(0), world.got(1)), eq(before), "{kind}");
         let back: f64 = last.header("retry-after").unwrap_or("none").parse()?;
-        expect_that!(back, all!(gt(0.0), le(PAUSE_S as f64 + 1.0)), "{kind}");
-        // Whoever comes back as told finds a server to ask.
+        expect_that!(back, all!(gt(0.0), le(BACKOFF_S as f64 + 1.0)), "{kind}");
+        // Callers that come back at that time find a server.
         time::sleep(Duration::from_secs_f64(back)).await;
         for _ in 0..world.gateways.len() {
             world.call().await?;
@@ -223,33 +208,33 @@
     Ok(())
 }
 
-/// The store is away, and its last word is that the server takes requests. The server says
-/// in its answers that it leaves.
+/// The store is down, and its last list shows the server as ready. The server states in its
+/// answers that it is leaving.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn that_leaves_gets_nothing_more_though_the_store_is_away() -> Result<()> {
-    let mut world = World::new("safe", 400, &[Way::Leaving, Way::Sound]).await?;
+async fn leaving_server_gets_no_requests_without_the_store() -> Result<()> {
+    let mut world = World::new("safe", 400, &[Behavior::Leaving, Behavior::Healthy]).await?;
     world.store.shutdown.clone().notify();
     let statuses = world.calls(DRAIN * 2).await?;
     expect_that!(statuses, each(eq(&200)));
     expect_that!(world.broken(), is_empty());
-    expect_that!(world.got(0), ge(1), "it was never asked");
+    expect_that!(world.got(0), ge(1), "got no request");
     Ok(())
 }
 
-/// The same beside entries: an engine that asks its agent for a pause gets none of the
-/// requests that come meanwhile.
+/// The same with entries and agents: an engine that asks its agent for a backoff gets no
+/// requests meanwhile.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn beside_an_agent_gets_nothing_until_its_pause_is_over() -> Result<()> {
+async fn engine_gets_no_requests_during_backoff() -> Result<()> {
     let mut fleet = Fleet::new(31).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
     let asked = |got: &Got| got.head.starts_with("POST");
     let mut engines = Vec::new();
-    for (name, way) in [("s1", Way::Busy), ("s2", Way::Sound)] {
-        let engine = Scripted::start(move |got| match way {
-            Way::Busy if asked(got) => script(got, way, "safe"),
+    for (name, behavior) in [("s1", Behavior::Busy), ("s2", Behavior::Healthy)] {
+        let engine = Scripted::start(move |got| match behavior {
+            Behavior::Busy if asked(got) => script(got, behavior, "safe"),
             _ => vec![answer(got, "404 Not Found", "")],
         })
         .await?;
@@ -261,18 +246,18 @@
     let client = reqwest::Client::new();
     wait_informed(&client, fleet.entries[0].http, engines.len()).await?;
     let body = json!({"model": "assistant", "prompt": "hello", "stream": true});
-    let end = Instant::now() + Duration::from_secs(PAUSE_S) - NEXT * 2;
-    let (mut told, mut last) = (0, Instant::now());
+    let end = Instant::now() + Duration::from_secs(BACKOFF_S) - PAUSE * 2;
+    let (mut refused, mut last) = (0, Instant::now());
     while last < end {
         let request = client.post(format!("{}/v1/completions", fleet.url(0))).json(&body);
         let reply = request.bearer_auth("quaystep").send().await?;
-        told += u32::from(reply.status().as_u16() == 503);
-        time::sleep(NEXT).await;
+        refused += u32::from(reply.status().as_u16() == 503);
+        time::sleep(PAUSE).await;
         last = Instant::now();
     }
     let reached = engines[0].got().iter().filter(|got| asked(got)).count();
-    // The first is turned away; the others are answered by the other engine.
+    // The first request is refused; the other engine answers the others.
     expect_that!(reached, all!(ge(1), le(2)));
-    expect_that!(told, le(2));
+    expect_that!(refused, le(2));
     Ok(())
 }
--- a/tests/testsuite/crashing_request.rs
+++ b/tests/testsuite/crashing_request.rs
@@ -1,24 +1,5 @@
-//! A request that ends each server that runs it is sent to one server after the other.
-//!
-//! A caller sent a request that no server survived. The gateway that had it took it up at
-//! another server, which ended as well; the caller got no answer, came back with another id
-//! through another gateway, and the same happened again. Nine servers ended in 17 seconds,
-//! and with each of them its whole group stood still for four.
-//!
-//! Whatever a gateway knew of a request was kept with the one attempt, under that attempt's
-//! id, and was gone with its end: which servers had been lost under it, and that it was the
-//! same one again, nobody kept and nobody told the others.
-//!
-//! Two lines of one gateway settled it, the ninth end, `sends` 1 as for a request never seen:
-//!
-//! ```text
-//! {"msg":"request","sends":1,"outcome":"streaming","status":200,"took_ms":163}
-//! {"msg":"stream left its server","last_event":null,"reason":"broken"}
-//! ```
-//!
-//! and beside the server, 75 ms later, `model server lost`, `Connection refused`. Three other
-//! requests that waited there broke within the same millisecond, so a broken attempt alone
-//! proves nothing.
+//! Guards against a request that crashes every server it is sent to, across attempts, gateways
+//! and entries.
 
 use crate::gateway::{answer, chunk, last_chunk, stream_head};
 use eyre::Result;
@@ -35,44 +16,45 @@
 
 /// Servers at a time.
 const SERVERS: usize = 6;
-/// Ends of servers that a request is given, and sends of it on top once it has had them.
-const ENDS: usize = 3;
-const SENDS_MORE: usize = 3;
-/// Time between two attempts of the caller: a server is back by then, and gateways have told
-/// each other.
-const COMES_AGAIN: Duration = Duration::from_millis(700);
+/// Crashes that a request may cause, and further sends of it that are allowed.
+const MAX_CRASHES: usize = 3;
+const MORE_SENDS: usize = 3;
+/// Time between two attempts of the caller, in which a server restarts and gateways exchange
+/// reports.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Kind of the store's objects that keep what is held back.
+/// Kind of the store's objects for quarantined requests.
 const KIND: &str = "mastweir-quarantine";
 const CRASHES: &[u8] = b"crashes";
 
-/// What a server does: it ends under that request, of a stream behind the head of its answer.
+/// Returns what a server does: it crashes under the request, in a stream after the answer's
+/// head.
 fn script(got: &Got, kind: &str) -> Vec<Act> {
-    let ends = got.body == CRASHES;
+    let crashes = got.body == CRASHES;
     match kind {
-        "streaming" if ends => vec![stream_head(got), Act::End],
+        "streaming" if crashes => vec![stream_head(got), Act::End],
         "streaming" => vec![stream_head(got), chunk("id: 1\ndata: a\n\n"), last_chunk()],
-        // That a server failed it tells nothing of the next one.
-        "unsafe" if ends && got.header("request-id") == Some("c-0") => {
+        // An error of one server predicts nothing about the next one.
+        "unsafe" if crashes && got.header("request-id") == Some("c-0") => {
             vec![answer(got, "500 Internal Server Error", "")]
         }
-        _ if ends => vec![Act::End],
+        _ if crashes => vec![Act::End],
         _ if got.body == b"breaks" => vec![Act::Reset],
         _ => vec![answer(got, "200 OK", "whole")],
     }
 }
 
-/// An installation whose servers end under one request, and come back as others.
+/// An installation whose servers crash under one request, and are replaced.
 struct World {
     site: Site,
     kind: &'static str,
     gateways: Vec<Running>,
     servers: Vec<(String, Scripted)>,
-    /// Servers that were started.
+    /// Number of servers started.
     started: usize,
-    /// Servers that ended.
-    ends: usize,
-    /// Times that a server got the request.
+    /// Number of servers that crashed.
+    crashes: usize,
+    /// Number of times that a server got the request.
     sends: usize,
 }
 
@@ -88,7 +70,7 @@
             gateways: Vec::new(),
             servers: Vec::new(),
             started: 0,
-            ends: 0,
+            crashes: 0,
             sends: 0,
         };
         for _ in 0..SERVERS {
@@ -107,7 +89,7 @@
         Ok(world)
     }
 
-    /// Starts a server under an id that stands nowhere else.
+    /// Starts a server under a new id.
     async fn start_server(&mut self) -> Result<()> {
         let id = format!("i-{}", self.started);
         self.started += 1;
@@ -118,14 +100,14 @@
         Ok(())
     }
 
-    /// Replaces those that ended, as the platform does.
-    async fn restart_ended(&mut self) -> Result<()> {
-        let (ended, left): (Vec<_>, Vec<_>) =
+    /// Replaces crashed servers, as the platform does.
+    async fn restart_crashed(&mut self) -> Result<()> {
+        let (crashed, live): (Vec<_>, Vec<_>) =
             self.servers.drain(..).partition(|(_, server)| server.has_ended());
-        self.servers = left;
-        for (id, server) in ended {
+        self.servers = live;
+        for (id, server) in crashed {
             self.sends += server.got().iter().filter(|got| got.body == CRASHES).count();
-            self.ends += 1;
+            self.crashes += 1;
             self.site.platform.remove("servers", &id);
             self.start_server().await?;
         }
@@ -133,48 +115,48 @@
     }
 
     async fn call(&self, gateway: usize, id: &str, body: &str) -> Result<Answer> {
-        // The query is each attempt's own.
+        // The query differs with each attempt.
         let path = format!("/draft/a?try={id}");
         let bytes = request("POST", &path, id, "Request-Deadline: 4000\r\n", body);
         exchange(self.gateways[gateway].callers, &bytes).await
     }
 }
 
-/// The caller comes ten times, in turn through three gateways, and each time as another
-/// attempt. Others are served meanwhile.
+/// The caller sends ten attempts through three gateways in turn. Other callers are served
+/// meanwhile.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_held_back_by_all_gateways_once_servers_have_ended_under_it() -> Result<()> {
+async fn is_quarantined_by_all_gateways_after_crashes() -> Result<()> {
     for kind in ["safe", "streaming", "unsafe"] {
         let mut world = World::new(3, kind).await?;
         let mut last = Answer::default();
         for attempt in 0..10 {
             last = world.call(attempt % 3, &format!("c-{attempt}"), "crashes").await?;
-            world.restart_ended().await?;
-            time::sleep(COMES_AGAIN).await;
+            world.restart_crashed().await?;
+            time::sleep(RETRY_DELAY).await;
             let other = world.call(attempt % 3, &format!("o-{attempt}"), "harmless").await?;
             expect_that!((other.status, other.whole), eq((200, true)), "{kind} {attempt}");
         }
-        expect_that!(world.ends, all!(ge(1), le(ENDS)), "{kind}");
-        expect_that!(world.sends, le(ENDS + SENDS_MORE), "{kind}");
-        // It has not run, and its caller is told when to come back.
+        expect_that!(world.crashes, all!(ge(1), le(MAX_CRASHES)), "{kind}");
+        expect_that!(world.sends, le(MAX_CRASHES + MORE_SENDS), "{kind}");
+        // The request has not run, and its caller is told when to come back.
         expect_that!(last.status, eq(503), "{kind}");
         expect_that!(last.header("retry-after"), some(anything()), "{kind}");
     }
     Ok(())
 }
 
-/// A gateway that starts later hears of it from the others.
+/// A gateway that starts later learns of the quarantine from the others.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_held_back_by_a_gateway_that_starts_later() -> Result<()> {
+async fn is_quarantined_by_a_gateway_started_later() -> Result<()> {
     let mut world = World::new(2, "safe").await?;
     for attempt in 0..2 {
         world.call(0, &format!("c-{attempt}"), "crashes").await?;
-        world.restart_ended().await?;
-        time::sleep(COMES_AGAIN).await;
+        world.restart_crashed().await?;
+        time::sleep(RETRY_DELAY).await;
     }
-    let ends = world.ends;
+    let crashes = world.crashes;
     world.gateways[1].ask_to_stop();
     world.gateways[1].ended().await?;
     let (_, served) = world.site.door().await?;
@@ -182,16 +164,16 @@
     world.gateways[1].wait_ready().await?;
     wait_for(async || world.call(1, "c-9", "crashes").await.is_ok_and(|last| last.status == 503))
         .await?;
-    world.restart_ended().await?;
-    expect_that!(world.ends, le(ENDS));
-    expect_that!(world.ends, eq(ends));
+    world.restart_crashed().await?;
+    expect_that!(world.crashes, le(MAX_CRASHES));
+    expect_that!(world.crashes, eq(crashes));
     Ok(())
 }
 
-/// The same at entries, whose servers have agents: an engine that ends is told by its agent.
+/// The same with entries and agents: the agent reports that its engine crashed.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_held_back_by_all_entries_once_engines_have_ended_under_it() -> Result<()> {
+async fn is_quarantined_by_all_entries_after_crashes() -> Result<()> {
     let mut fleet = Fleet::new(31).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
@@ -213,60 +195,60 @@
     }
     let client = reqwest::Client::new();
     let body = json!({"model": "assistant", "prompt": "crashes", "stream": true});
-    let mut told = Vec::new();
-    let mut back = None;
+    let mut problems = Vec::new();
+    let mut retry_after = None;
     for attempt in 0..6 {
         let request = client.post(format!("{}/v1/completions", fleet.url(attempt % 2))).json(&body);
         let reply: serde_json::Value =
             request.bearer_auth("quaystep").send().await?.json().await.unwrap_or_default();
-        told.push(reply["type"].as_str().unwrap_or_default().to_owned());
-        back = reply["retry_after"].as_u64();
-        // A heartbeat goes from entry to entry.
+        problems.push(reply["type"].as_str().unwrap_or_default().to_owned());
+        retry_after = reply["retry_after"].as_u64();
+        // Entries exchange heartbeats meanwhile.
         time::sleep(Duration::from_millis(1_300)).await;
     }
-    let ended = engines.iter().filter(|engine| engine.has_ended()).count();
-    expect_that!(ended, all!(ge(1), le(ENDS)));
-    expect_that!(told.last().map(String::as_str), some(eq("urn:mastweir:problem:quarantined")));
-    expect_that!(back, some(eq(3_600)));
+    let crashed = engines.iter().filter(|engine| engine.has_ended()).count();
+    expect_that!(crashed, all!(ge(1), le(MAX_CRASHES)));
+    expect_that!(problems.last().map(String::as_str), some(eq("urn:mastweir:problem:quarantined")));
+    expect_that!(retry_after, some(eq(3_600)));
     Ok(())
 }
 
-/// Where no server could take it, it does not wait for one: it is answered while a request
-/// that came before it still waits, by an objective that lets both wait to their end.
+/// A quarantined request does not wait for a free server: it is answered while an earlier
+/// request still waits.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_refused_at_once_where_no_server_has_room() -> Result<()> {
+async fn is_refused_at_once_without_free_servers() -> Result<()> {
     let mut world = World::with_objective(1, "safe", 60_000).await?;
     for attempt in 0..3 {
         world.call(0, &format!("c-{attempt}"), "crashes").await?;
-        world.restart_ended().await?;
-        time::sleep(COMES_AGAIN).await;
+        world.restart_crashed().await?;
+        time::sleep(RETRY_DELAY).await;
     }
     for (id, _) in &world.servers {
         world.site.platform.remove("servers", id);
     }
-    // Those that left the list are a last resort for a moment.
-    time::sleep(COMES_AGAIN * 3).await;
-    let mut waits = pin!(world.call(0, "o-1", "harmless"));
+    // Servers that left the list are a last resort for a short time.
+    time::sleep(RETRY_DELAY * 3).await;
+    let mut waiting = pin!(world.call(0, "o-1", "harmless"));
     let refused = tokio::select! {
         biased;
-        waited = &mut waits => waited,
+        waited = &mut waiting => waited,
         refused = async {
-            time::sleep(COMES_AGAIN).await;
+            time::sleep(RETRY_DELAY).await;
             world.call(0, "c-9", "crashes").await
         } => refused,
     };
     let refused = refused?;
     expect_that!(refused.header("retry-after"), some(starts_with("3600")));
-    expect_that!(waits.await?.status, eq(503));
+    expect_that!(waiting.await?.status, eq(503));
     Ok(())
 }
 
-/// Two gateways prove one end each at the same time, so neither has proved both; it lies in
-/// the store all the same.
+/// Two gateways confirm one crash each at the same time, so neither has confirmed both; the
+/// request is still written to the store.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_kept_where_no_gateway_proved_it_alone() -> Result<()> {
+async fn is_stored_when_no_gateway_confirmed_it_alone() -> Result<()> {
     let world = World::new(2, "unsafe").await?;
     let name = Fingerprint::of(RequestParts {
         customer: "north",
@@ -275,7 +257,7 @@
         body: CRASHES,
     });
     expect_that!(world.call(0, "d-0", "crashes").await?.status, eq(502));
-    // The first server's port is closed, and its end not proved.
+    // The first server's port is closed, and its crash is not confirmed yet.
     time::sleep(Duration::from_millis(60)).await;
     expect_that!(world.call(1, "d-1", "crashes").await?.status, eq(502));
     expect_that!(world.servers.iter().filter(|(_, server)| server.has_ended()).count(), eq(2));
@@ -283,37 +265,36 @@
     Ok(())
 }
 
-/// Servers that break answers off and live on prove nothing: a group that lost a rank does so
-/// with all its streams.
+/// Servers that break off answers and stay alive prove nothing: a group that lost a rank
+/// breaks off all its streams.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_not_held_back_where_servers_live_on() -> Result<()> {
+async fn is_not_quarantined_while_servers_live() -> Result<()> {
     let mut world = World::new(1, "safe").await?;
     for attempt in 0..6 {
         let last = world.call(0, &format!("b-{attempt}"), "breaks").await?;
         expect_that!(last.status, eq(502), "{attempt}");
-        // Two looks find the server alive.
-        time::sleep(COMES_AGAIN).await;
+        // Two probes find the server alive.
+        time::sleep(RETRY_DELAY).await;
     }
-    world.restart_ended().await?;
-    expect_that!(world.ends, eq(0));
+    world.restart_crashed().await?;
+    expect_that!(world.crashes, eq(0));
     Ok(())
 }
 
-/// All gateways lose what they know, and find it in the store; what nobody has asked for
-/// during an hour they clear away.
+/// All gateways lose their state and read it from the store. Entries that expired are removed.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_held_back_when_all_gateways_start_anew() -> Result<()> {
+async fn is_quarantined_after_all_gateways_restart() -> Result<()> {
     let mut world = World::new(2, "unsafe").await?;
-    let lapsed = json!({ "spec": { "ends": ["1", "2"], "finished": false, "written_s": 9 } });
-    world.site.platform.put(KIND, "00000000000000ff", lapsed);
+    let expired = json!({ "spec": { "ends": ["1", "2"], "finished": false, "written_s": 9 } });
+    world.site.platform.put(KIND, "00000000000000ff", expired);
     for attempt in 0..3 {
         world.call(attempt % 2, &format!("c-{attempt}"), "crashes").await?;
-        world.restart_ended().await?;
-        time::sleep(COMES_AGAIN).await;
+        world.restart_crashed().await?;
+        time::sleep(RETRY_DELAY).await;
     }
-    let ends = world.ends;
+    let crashes = world.crashes;
     for gateway in &mut world.gateways {
         gateway.ask_to_stop();
         gateway.ended().await?;
@@ -328,8 +309,8 @@
     for number in 0..2 {
         expect_that!(world.call(number, "c-9", "crashes").await?.status, eq(503));
     }
-    world.restart_ended().await?;
-    expect_that!(world.ends, all!(eq(ends), le(ENDS)));
+    world.restart_crashed().await?;
+    expect_that!(world.crashes, all!(eq(crashes), le(MAX_CRASHES)));
     wait_for(async || !world.site.platform.has(KIND, "00000000000000ff")).await?;
     Ok(())
 }
--- a/tests/testsuite/limited_server.rs
+++ b/tests/testsuite/limited_server.rs
@@ -1,19 +1,5 @@
-//! A server that names a limit gets what each gateway thinks little.
-//!
-//! Two model servers said in their answers that they take 1.3 and 1.2 requests a second from
-//! all gateways together. The header was read nowhere, so they went on to get what all servers
-//! get, 27 and 21 in the eight seconds behind it, and 13 and 14 in four of them from gateways
-//! that they had told.
-//!
-//! To read it would not have been enough. A pause binds whoever was asked for it, so each
-//! gateway can keep it alone; a limit binds the sum over all of them. Of the 15 requests that
-//! one of the two got in its worst four seconds no gateway sent more than 5, which each would
-//! have taken for less than the limit:
-//!
-//! ```text
-//! front-pos-hall-1 5, front-pos-hall-2 4, front-chg-hall-2 2, front-chg-hall-1 2,
-//! front-sta-hall-3 1, front-sta-hall-2 1
-//! ```
+//! Guards against servers that state a rate limit but get more requests, in sum over all
+//! gateways.
 
 use crate::gateway::answer;
 use eyre::Result;
@@ -32,40 +18,40 @@
 use tokio::{task::JoinSet, time};
 
 /// Pause between two requests of the callers.
-const NEXT: Duration = Duration::from_millis(25);
+const PAUSE: Duration = Duration::from_millis(25);
 
-/// What servers named, and what they got.
+/// State of the servers and callers.
 #[derive(Debug, Default)]
-struct Seen {
-    /// Through which gateway callers sent requests.
+struct State {
+    /// The gateway of each request.
     sent: HashMap<String, usize>,
     limits: HashMap<usize, Limit<usize>>,
     reached: HashMap<usize, usize>,
-    /// The most that each got where that was too much.
+    /// The largest excess of each server.
     exceeded: HashMap<usize, Exceeded>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Notes(Arc<Mutex<Seen>>);
+struct SharedState(Arc<Mutex<State>>);
 
-impl Notes {
-    fn seen(&self) -> MutexGuard<'_, Seen> {
+impl SharedState {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A request reaches a server; gives the limit that the answer names.
+    /// Records a request at a server. Returns the limit that the answer states.
     fn arrived(&self, server: usize, got: &Got) -> Option<f64> {
         let now = Instant::now();
-        let mut seen = self.seen();
-        let gateway = *seen.sent.get(got.header("request-id")?)?;
-        *seen.reached.entry(server).or_default() += 1;
-        let limit = seen.limits.entry(server).or_default();
+        let mut state = self.lock();
+        let gateway = *state.sent.get(got.header("request-id")?)?;
+        *state.reached.entry(server).or_default() += 1;
+        let limit = state.limits.entry(server).or_default();
         let exceeded = limit.arrived(gateway, now);
         limit.told(gateway, now);
-        let named = limit.named();
-        let most = seen.exceeded.get(&server).map_or(0, |before| before.all);
-        seen.exceeded.extend(exceeded.filter(|now| now.all > most).map(|now| (server, now)));
-        named
+        let limited = limit.named();
+        let most = state.exceeded.get(&server).map_or(0, |before| before.all);
+        state.exceeded.extend(exceeded.filter(|now| now.all > most).map(|now| (server, now)));
+        limited
     }
 }
 
@@ -81,23 +67,23 @@
     store: Served,
     gateways: Vec<Running>,
     _servers: Vec<Scripted>,
-    notes: Notes,
+    state: SharedState,
     sent: usize,
 }
 
 impl World {
-    /// So many gateways, and servers that name these limits from the first answer on.
+    /// Starts gateways, and servers that state these limits from the first answer on.
     async fn new(gateways: u8, limits: &[Option<f64>]) -> Result<Self> {
         let site = Site::new(gateways)?;
-        let notes = Notes::default();
+        let state = SharedState::default();
         let mut servers = Vec::new();
         for (number, limit) in limits.iter().copied().enumerate() {
-            let mut named = Limit::default();
-            named.name(limit, Instant::now());
-            notes.seen().limits.insert(number, named);
-            let seen = notes.clone();
+            let mut limited = Limit::default();
+            limited.name(limit, Instant::now());
+            state.lock().limits.insert(number, limited);
+            let shared = state.clone();
             let server = Scripted::start(move |got| {
-                let limit = seen.arrived(number, got);
+                let limit = shared.arrived(number, got);
                 script(got, limit)
             });
             let server = server.await?;
@@ -111,37 +97,37 @@
         for gateway in &running {
             gateway.wait_ready().await?;
         }
-        Ok(Self { site, store, gateways: running, _servers: servers, notes, sent: 0 })
+        Ok(Self { site, store, gateways: running, _servers: servers, state, sent: 0 })
     }
 
-    /// A caller sends a request through a gateway.
+    /// Sends a request through a gateway.
     fn call(&mut self, gateway: usize) -> impl Future<Output = Result<Answer>> + use<> {
         let id = format!("r-{}", self.sent);
         self.sent += 1;
-        self.notes.seen().sent.insert(id.clone(), gateway);
+        self.state.lock().sent.insert(id.clone(), gateway);
         let bytes = request("POST", "/draft/a", &id, "Request-Deadline: 4000\r\n", "body");
         let to = self.gateways[gateway].callers;
         async move { exchange(to, &bytes).await }
     }
 
-    /// Callers come for so long, through the gateways that `through` tells for each in turn;
-    /// gives their answers' statuses.
+    /// Sends requests for a time, through the gateways that `through` returns for their
+    /// numbers. Returns the statuses of the answers.
     async fn calls(
         &mut self,
-        lasts: Duration,
+        duration: Duration,
         through: impl Fn(usize) -> usize,
     ) -> Result<Vec<u16>> {
-        self.calls_every(NEXT, lasts, through).await
+        self.calls_every(PAUSE, duration, through).await
     }
 
-    /// The same, so far apart.
+    /// Does the same with another pause between requests.
     async fn calls_every(
         &mut self,
         pause: Duration,
-        lasts: Duration,
+        duration: Duration,
         through: impl Fn(usize) -> usize,
     ) -> Result<Vec<u16>> {
-        let end = Instant::now() + lasts;
+        let end = Instant::now() + duration;
         let mut calls = JoinSet::new();
         while Instant::now() < end {
             calls.spawn(self.call(through(self.sent)));
@@ -151,52 +137,53 @@
         Ok(answers?.iter().map(|answer| answer.status).collect())
     }
 
-    /// What was exceeded by whom the server had told, or by anyone.
+    /// Returns by how much limits were exceeded, by gateways that the server had told or by
+    /// all.
     fn exceeded(&self) -> HashMap<usize, Exceeded> {
-        self.notes.seen().exceeded.clone()
+        self.state.lock().exceeded.clone()
     }
 
-    /// A server names another limit from now on, or none.
+    /// Sets the limit that a server states from now on.
     fn name(&self, server: usize, limit: Option<f64>) {
-        let mut seen = self.notes.seen();
-        seen.limits.entry(server).or_default().name(limit, Instant::now());
+        let mut state = self.state.lock();
+        state.limits.entry(server).or_default().name(limit, Instant::now());
     }
 
-    /// What came so far counts no more.
+    /// Excludes previous requests from the counts.
     fn forget(&self) {
-        self.notes.seen().limits.values_mut().for_each(Limit::forget);
+        self.state.lock().limits.values_mut().for_each(Limit::forget);
     }
 
     fn reached(&self, server: usize) -> usize {
-        self.notes.seen().reached.get(&server).copied().unwrap_or_default()
+        self.state.lock().reached.get(&server).copied().unwrap_or_default()
     }
 }
 
-/// One of three servers names a limit. The others carry the rest, and every caller is served.
+/// One of three servers states a limit. The others carry the rest, and every caller is served.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_no_more_than_it_names_from_all_gateways_together() -> Result<()> {
+async fn gets_at_most_its_limit_from_all_gateways() -> Result<()> {
     let mut world = World::new(6, &[Some(1.0), None, None]).await?;
     let statuses = world.calls(Duration::from_secs(12), |sent| sent % 6).await?;
     expect_that!(statuses, each(eq(&200)));
     expect_that!(world.exceeded(), is_empty());
-    expect_that!(world.reached(0), ge(4), "it takes a request a second");
+    expect_that!(world.reached(0), ge(4), "its limit is a request a second");
     Ok(())
 }
 
-/// All servers name a limit, and all callers come through one gateway. What the servers take
-/// is used, and whoever finds nothing left is refused at once, and told when to come back.
+/// All servers state a limit, and all callers use one gateway. The limits are used up, and
+/// callers beyond them are refused at once with a time to come back.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_what_it_takes_though_all_callers_come_through_one_gateway() -> Result<()> {
+async fn gets_its_limit_through_a_single_gateway() -> Result<()> {
     let mut world = World::new(6, &[Some(4.0), Some(4.0)]).await?;
-    // Behind this the limits are known, and lent out.
+    // After this, the limits are known and permits are issued.
     world.calls(Duration::from_secs(5), |_| 3).await?;
     let before = world.reached(0) + world.reached(1);
     let statuses = world.calls(Duration::from_secs(8), |_| 3).await?;
     let served = statuses.iter().filter(|status| **status == 200).count();
     expect_that!(statuses, each(any![eq(&200), eq(&503)]));
-    // Eight seconds of eight requests; a quarter may be lost between asking and sending.
+    // Eight requests a second for eight seconds; a quarter may be lost between grant and use.
     expect_that!(served, all![ge(48), le(80)]);
     expect_that!(world.reached(0) + world.reached(1) - before, eq(served));
     expect_that!(world.exceeded(), is_empty());
@@ -209,32 +196,31 @@
     };
     let back: f64 = refused.1.header("retry-after").unwrap_or("none").parse()?;
     expect_that!(back, all![gt(0.0), le(4.5)]);
-    // A fifth of the objective, and the way.
+    // A fifth of the objective, and the network.
     expect_that!(refused.0, lt(Duration::from_millis(400)));
     Ok(())
 }
 
-/// All servers name a limit, and each gateway has a caller now and then: a token that is lent to
-/// one that has nothing to send is lost to the others.
+/// All servers state a limit, and each gateway has few callers. Guards against permits that
+/// are granted to gateways without requests and lost to the others.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_what_it_takes_though_callers_are_spread_thin() -> Result<()> {
+async fn gets_its_limit_from_sparse_callers() -> Result<()> {
     let mut world = World::new(6, &[Some(1.0); 4]).await?;
     let pause = Duration::from_millis(125);
     world.calls_every(pause, Duration::from_secs(6), |sent| sent % 6).await?;
     let statuses = world.calls_every(pause, Duration::from_secs(10), |sent| sent % 6).await?;
     let served = statuses.iter().filter(|status| **status == 200).count();
-    // Ten seconds of four requests, for twice as many callers.
+    // Four requests a second for ten seconds, from twice as many callers.
     expect_that!(served, all![ge(28), le(50)]);
     expect_that!(world.exceeded(), is_empty());
     Ok(())
 }
 
-/// Few callers come: none of them finds the gateway without a token for long, though none is
-/// saved up while nobody comes.
+/// Callers come rarely. Each gets a permit soon, although none are accumulated meanwhile.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn that_is_the_only_one_serves_callers_who_come_now_and_then() -> Result<()> {
+async fn serves_occasional_callers_alone() -> Result<()> {
     let mut world = World::new(6, &[Some(2.0)]).await?;
     world.calls(Duration::from_secs(5), |sent| sent % 6).await?;
     time::sleep(Duration::from_secs(3)).await;
@@ -246,15 +232,15 @@
     Ok(())
 }
 
-/// Gateways end and start again one behind the other, beside callers. Each new one hears of the
-/// limit from the others, and whoever lent before is followed by one that begins with nothing.
+/// Gateways are replaced one after the other under load. A new gateway learns the limit from
+/// the others, and a new issuer begins with an empty bucket.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_no_more_while_gateways_are_replaced_in_turn() -> Result<()> {
+async fn limit_holds_while_gateways_are_replaced() -> Result<()> {
     let mut world = World::new(4, &[Some(1.0), None]).await?;
     world.calls(Duration::from_secs(5), |sent| sent % 4).await?;
     for number in 0..3 {
-        // It ends as one that is killed does: without a word.
+        // The gateway is killed without notice.
         world.gateways[number].kill().await?;
         let others = move |sent: usize| (number + 1 + sent % 3) % 4;
         let statuses = world.calls(Duration::from_millis(1_500), others).await?;
@@ -268,10 +254,10 @@
     Ok(())
 }
 
-/// All gateways start again at one moment, and none of them was told by the server before.
+/// All gateways restart at once, and the server has told none of them its limit.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_no_more_when_all_gateways_start_again() -> Result<()> {
+async fn limit_holds_when_all_gateways_restart() -> Result<()> {
     let mut world = World::new(4, &[Some(1.0), None]).await?;
     world.calls(Duration::from_secs(5), |sent| sent % 4).await?;
     for gateway in &mut world.gateways {
@@ -283,7 +269,7 @@
     for gateway in &world.gateways {
         gateway.wait_ready().await?;
     }
-    // What comes before the first answer tells them is theirs to send.
+    // Requests before the first answer are not counted.
     world.forget();
     let statuses = world.calls(Duration::from_secs(12), |sent| sent % 4).await?;
     expect_that!(statuses, each(eq(&200)));
@@ -292,11 +278,10 @@
     Ok(())
 }
 
-/// The store is away, and gateways hear of the limit and lend all the same. The end of the
-/// limit comes through, and a higher one before it.
+/// While the store is down, a higher limit and the end of the limit still take effect.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn gets_more_once_it_names_more_or_nothing() -> Result<()> {
+async fn gets_more_once_its_limit_is_raised_or_ended() -> Result<()> {
     let mut world = World::new(6, &[Some(1.0)]).await?;
     world.store.shutdown.clone().notify();
     let mut served = Vec::new();
--- /dev/null
+++ b/tests/testsuite/poison_requests.rs
@@ -0,0 +1,222 @@
+//! Quarantine of requests that crash servers: innocent requests are told apart, and gateways
+//! converge despite lost messages.
+
+use googletest::prelude::*;
+use mastweir_core::{
+    gateway::{Fingerprint, PoisonRequests, QUARANTINE_DURATION, RequestParts, SuspectReport},
+    time::Uptime,
+};
+use rand::{Rng, SeedableRng, rngs::SmallRng, seq::SliceRandom};
+use std::{
+    collections::{HashMap, HashSet},
+    time::Duration,
+};
+
+const SUSPECT: Fingerprint = Fingerprint(1);
+
+fn incarnation(number: u64) -> Fingerprint {
+    Fingerprint::of_incarnation(&format!("i-{number}"))
+}
+
+fn at(millis: u64) -> Uptime {
+    Uptime::from_millis(millis)
+}
+
+fn fingerprint<'a>(customer: &'a str, path: &'a str, body: &'a str) -> Fingerprint {
+    Fingerprint::of(RequestParts { customer, host: "a.example", path, body: body.as_bytes() })
+}
+
+#[googletest::test]
+fn fingerprint_covers_customer_path_and_body() {
+    let all = [
+        fingerprint("north", "/a", "x"),
+        fingerprint("south", "/a", "x"),
+        fingerprint("north", "/b", "x"),
+        fingerprint("north", "/a", "y"),
+        fingerprint("north", "/a", ""),
+        // Parts are separated.
+        fingerprint("north/a", "", "x"),
+    ];
+    expect_that!(all.iter().collect::<HashSet<_>>().len(), eq(all.len()));
+    expect_that!(fingerprint("north", "/a", "x"), eq(all[0]));
+}
+
+#[googletest::test]
+fn two_crashes_quarantine_a_request() {
+    let mut suspects = PoisonRequests::default();
+    expect_that!(suspects.record_crash(SUSPECT, incarnation(1), at(0)), eq(false));
+    expect_that!(suspects.record_crash(SUSPECT, incarnation(1), at(1)), eq(false));
+    expect_that!(suspects.quarantine(SUSPECT, at(2)), none());
+    expect_that!(suspects.record_crash(SUSPECT, incarnation(2), at(3)), eq(true));
+    expect_that!(
+        suspects.quarantine(SUSPECT, at(4)).map(|quarantine| quarantine.crashes),
+        some(eq(2))
+    );
+    expect_that!(suspects.quarantine(Fingerprint(2), at(4)), none());
+}
+
+/// A group that loses a rank breaks off the streams of all its servers, which stay alive.
+#[googletest::test]
+fn live_servers_clear_a_suspect() {
+    let mut suspects = PoisonRequests::default();
+    for number in 0..5 {
+        suspects.add_suspect(SUSPECT, incarnation(number), at(number));
+        suspects.clear(SUSPECT, incarnation(number));
+    }
+    expect_that!(suspects.quarantine(SUSPECT, at(9)), none());
+    expect_that!(suspects.is_empty(), eq(true));
+    // Until the servers are probed, the request is not sent to a third one.
+    suspects.add_suspect(SUSPECT, incarnation(8), at(10));
+    suspects.add_suspect(SUSPECT, incarnation(9), at(10));
+    let quarantine = suspects.quarantine(SUSPECT, at(11));
+    expect_that!(quarantine.map(|quarantine| quarantine.confirmed), some(eq(false)));
+    expect_that!(suspects.recent_reports(at(11)), is_empty());
+}
+
+/// Frequent requests run on many servers, and those of a hall may all crash together.
+#[googletest::test]
+fn completed_request_is_quarantined_only_after_many_crashes() {
+    let mut suspects = PoisonRequests::default();
+    suspects.record_completed(SUSPECT, at(0));
+    for number in 0..7 {
+        expect_that!(suspects.record_crash(SUSPECT, incarnation(number), at(number)), eq(false));
+    }
+    expect_that!(suspects.quarantine(SUSPECT, at(8)), none());
+    expect_that!(suspects.record_crash(SUSPECT, incarnation(7), at(9)), eq(true));
+    // Another gateway's report of the completion counts as much.
+    let mut other = PoisonRequests::default();
+    other.record_crash(SUSPECT, incarnation(8), at(0));
+    let crashes = vec![incarnation(9)];
+    other.merge(&SuspectReport { request: SUSPECT, crashes, completed: true, age_ms: 0 }, at(1));
+    expect_that!(other.quarantine(SUSPECT, at(2)), none());
+}
+
+#[googletest::test]
+fn quarantine_expires_without_new_attempts() {
+    let mut suspects = PoisonRequests::default();
+    suspects.record_crash(SUSPECT, incarnation(1), at(0));
+    suspects.record_crash(SUSPECT, incarnation(2), at(0));
+    let half = at(0) + QUARANTINE_DURATION / 2;
+    expect_that!(suspects.quarantine(SUSPECT, half), some(anything()));
+    let reports = suspects.quarantined_reports(9, half + QUARANTINE_DURATION / 2);
+    suspects.expire(at(0) + QUARANTINE_DURATION);
+    expect_that!(suspects.is_empty(), eq(false));
+    suspects.expire(half + QUARANTINE_DURATION);
+    expect_that!(suspects.is_empty(), eq(true));
+    // Reports contain the age of the last attempt, so that exchanging them does not extend a
+    // quarantine.
+    let mut other = PoisonRequests::default();
+    for report in &reports {
+        other.merge(report, at(0) + QUARANTINE_DURATION);
+    }
+    expect_that!(other.quarantine(SUSPECT, at(1) + QUARANTINE_DURATION), some(anything()));
+    let mut late = PoisonRequests::default();
+    reports.iter().for_each(|report| {
+        let age_ms = report.age_ms * 2;
+        late.merge(&SuspectReport { age_ms, ..report.clone() }, at(9));
+    });
+    expect_that!(late.is_empty(), eq(true));
+}
+
+#[googletest::test]
+fn memory_is_bounded_and_quarantined_requests_are_kept() {
+    let mut suspects = PoisonRequests::default();
+    suspects.record_crash(SUSPECT, incarnation(1), at(0));
+    suspects.record_crash(SUSPECT, incarnation(2), at(0));
+    for number in 0..50_000 {
+        suspects.record_crash(Fingerprint(100 + number), incarnation(3), at(number));
+        suspects.record_completed(Fingerprint(1_000_000 + number), at(number));
+    }
+    expect_that!(suspects.recent_reports(at(49_999)).len(), le(4_096));
+    expect_that!(suspects.quarantine(SUSPECT, at(50_000)), some(anything()));
+}
+
+/// Gateways record crashes and completions and exchange reports, of which half are lost and
+/// some arrive late or twice. Compares them with a plain count of all crashes.
+#[googletest::test]
+fn gateways_converge_despite_lost_messages() {
+    for seed in 0..60 {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let mut gateways = vec![PoisonRequests::default(); 5];
+        let mut crashes: HashMap<Fingerprint, HashSet<Fingerprint>> = HashMap::new();
+        let mut completed: HashSet<Fingerprint> = HashSet::new();
+        let mut in_flight: Vec<SuspectReport> = Vec::new();
+        let mut now = 0;
+        for _ in 0..400 {
+            now += rng.random_range(1..80);
+            let gateway = rng.random_range(0..gateways.len());
+            let request = Fingerprint(rng.random_range(0..6));
+            match rng.random_range(0..10) {
+                0 => {
+                    let crashed = incarnation(rng.random_range(0..12));
+                    gateways[gateway].record_crash(request, crashed, at(now));
+                    crashes.entry(request).or_default().insert(crashed);
+                }
+                1 if request.0 == 0 => {
+                    gateways[gateway].record_completed(request, at(now));
+                    completed.insert(request);
+                }
+                // The gateway restarts, and fetches the quarantined requests from another one.
+                2 if rng.random_bool(0.2) => {
+                    let other = (gateway + 1) % gateways.len();
+                    let quarantined = gateways[other].quarantined_reports(usize::MAX, at(now));
+                    gateways[gateway] = PoisonRequests::default();
+                    for report in quarantined {
+                        gateways[gateway].merge(&report, at(now));
+                    }
+                }
+                3..6 => in_flight.extend(gateways[gateway].recent_reports(at(now))),
+                _ => {
+                    in_flight.shuffle(&mut rng);
+                    if let Some(report) = in_flight.last().cloned() {
+                        gateways[gateway].merge(&report, at(now));
+                    }
+                    in_flight.truncate(in_flight.len() / 2);
+                }
+            }
+            for suspects in &mut gateways {
+                let quarantine = suspects.quarantine(request, at(now));
+                let known = crashes.get(&request).map_or(0, HashSet::len);
+                expect_that!(
+                    quarantine.map_or(0, |quarantine| quarantine.crashes),
+                    le(known.min(8)),
+                    "seed {seed}"
+                );
+            }
+        }
+        // All gateways receive all reports, and have to agree.
+        now += 2_000;
+        for _ in 0..3 {
+            let reports_of = |gateway: &PoisonRequests| {
+                [gateway.quarantined_reports(usize::MAX, at(now)), gateway.recent_reports(at(now))]
+                    .concat()
+            };
+            let reports: Vec<SuspectReport> = gateways.iter().flat_map(reports_of).collect();
+            for suspects in &mut gateways {
+                for report in &reports {
+                    suspects.merge(report, at(now));
+                }
+            }
+        }
+        let late = gateways.iter().flat_map(|gateway| gateway.recent_reports(at(now + 2_000)));
+        expect_that!(late.count(), eq(0), "seed {seed}: reports stop");
+        for request in (0..6).map(Fingerprint) {
+            let mut found =
+                gateways.iter_mut().map(|suspects| suspects.quarantine(request, at(now + 9)));
+            let first = found.next().flatten().map(|quarantine| quarantine.crashes);
+            let agree =
+                found.all(|quarantine| quarantine.map(|quarantine| quarantine.crashes) == first);
+            expect_that!(agree, eq(true), "seed {seed}, request {}", request.0);
+        }
+    }
+}
+
+/// Without crashes, the table stays empty.
+#[googletest::test]
+fn no_reports_without_crashes() {
+    let mut suspects = PoisonRequests::default();
+    (0..10_000).for_each(|number| suspects.record_completed(Fingerprint(number), at(number)));
+    expect_that!(suspects.is_empty(), eq(true));
+    expect_that!(suspects.recent_reports(at(10_000)), is_empty());
+    expect_that!(suspects.quarantined_reports(9, at(10_000) + Duration::from_secs(9)), is_empty());
+}
--- a/tests/testsuite/suspension.rs
+++ b/tests/testsuite/suspension.rs
@@ -1,4 +1,4 @@
-//! A machine that was suspended: time has gone on, and timers have stood still.
+//! Guards against timers that stand still while a machine is suspended and time goes on.
 
 use crate::gateway::{answer, chunk, last_chunk, stream_head};
 use eyre::Result;
@@ -25,40 +25,40 @@
 
 const SUSPENDED: Duration = Duration::from_secs(3);
 
-/// A request is sent to its second server with what its caller has left by then, not with
-/// what the gateway's timers have counted.
+/// A retry gets the time that the caller has left, not the time that the gateway's timers have
+/// counted.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_are_given_no_time_that_has_passed_meanwhile() -> Result<()> {
+async fn retry_deadline_excludes_suspended_time() -> Result<()> {
     let site = Site::new(1)?;
-    let breaks = Scripted::start(|got| match got.header("request-id") {
+    let first = Scripted::start(|got| match got.header("request-id") {
         Some("r-1") => vec![Act::Wait(Duration::from_millis(600)), Act::Reset],
         _ => vec![answer(got, "200 OK", "")],
     })
     .await?;
-    site.list("i-0", &breaks, "ready");
+    site.list("i-0", &first, "ready");
     site.configure(1, &[route("/safe/", "safe")]);
     let (_, served) = site.door().await?;
     let gateway = site.gateway(0, served.addr)?;
     gateway.wait_ready().await?;
     let bytes = request("GET", "/safe/a", "r-1", "Request-Deadline: 4500\r\n", "");
-    let calling = tokio::spawn(exchange_owned(gateway.callers, bytes));
-    wait_for(async || breaks.got().len() == 1).await?;
+    let call = tokio::spawn(exchange_owned(gateway.callers, bytes));
+    wait_for(async || first.got().len() == 1).await?;
     let other = Scripted::start(|got| vec![answer(got, "200 OK", "")]).await?;
     site.list("i-1", &other, "ready");
     gateway.clock.suspend(SUSPENDED);
-    expect_that!(calling.await??.status, eq(200));
+    expect_that!(call.await??.status, eq(200));
     let got = other.got();
     let left: u64 = got[0].header("request-deadline").unwrap_or_default().parse()?;
     expect_that!(left, all!(gt(0), le(1_500)));
     Ok(())
 }
 
-/// A request that waits for its server ends at its deadline, not a minute later by the timer
-/// that was set for it: its caller here waits half a minute.
+/// A request that waits for its server ends at its deadline, not when the timer set for it
+/// fires.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_that_passed_meanwhile_ends_a_request() -> Result<()> {
+async fn deadline_passed_during_suspension_ends_request() -> Result<()> {
     let site = Site::new(1)?;
     let server = Scripted::start(|_| vec![Act::Hang]).await?;
     site.list("i-0", &server, "ready");
@@ -69,10 +69,10 @@
     let gateway = site.gateway(0, served.addr)?;
     gateway.wait_ready().await?;
     let bytes = request("POST", "/once/a", "r-1", "Request-Deadline: 60000\r\n", "x");
-    let calling = tokio::spawn(exchange_owned(gateway.callers, bytes));
+    let call = tokio::spawn(exchange_owned(gateway.callers, bytes));
     wait_for(async || server.got().len() == 1).await?;
     gateway.clock.suspend(Duration::from_secs(60));
-    expect_that!(calling.await??.status, eq(504));
+    expect_that!(call.await??.status, eq(504));
     Ok(())
 }
 
@@ -85,14 +85,14 @@
 
 #[googletest::test]
 #[tokio::test(start_paused = true)]
-async fn a_wait_ends_by_the_clock_not_by_the_timer() {
+async fn wait_ends_by_the_clock() {
     let clock = Clock::start();
     let until = clock.now() + Duration::from_secs(3_600);
     let begun = time::Instant::now();
-    let suspending = clock.clone();
+    let suspended = clock.clone();
     let suspend = async move {
         time::sleep(Duration::from_secs(2)).await;
-        suspending.suspend(Duration::from_secs(3_600));
+        suspended.suspend(Duration::from_secs(3_600));
     };
     tokio::join!(clock.sleep_until(until), suspend);
     expect_that!(begun.elapsed(), le(Duration::from_secs(4)));
@@ -101,11 +101,11 @@
     expect_that!(clock.now() > Uptime::from_secs(3_600), eq(true));
 }
 
-/// Streams go on behind a suspension: what came meanwhile lies unread when the gateway goes on,
-/// and silence that nobody listened to is no reason to leave a server.
+/// Streams continue after a suspension: messages that arrived meanwhile are still unread, so
+/// silence does not mean that a server is lost.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn no_server_is_left_for_what_was_not_read_meanwhile() -> Result<()> {
+async fn unread_messages_do_not_break_streams() -> Result<()> {
     let site = Site::new(1)?;
     let mut servers = Vec::new();
     for number in 0..2 {
@@ -124,10 +124,10 @@
     let (_, served) = site.door().await?;
     let gateway = site.gateway(0, served.addr)?;
     gateway.wait_ready().await?;
-    let reports = Arc::new(AtomicBool::new(true));
+    let is_sending = Arc::new(AtomicBool::new(true));
     let addrs = servers.iter().map(|server| server.addr).collect();
-    let reporting = tokio::spawn(report(site.internal(0), addrs, reports.clone()));
-    // It speaks for its hall, and has heard the sidecars for long enough.
+    let reports = tokio::spawn(report(site.internal(0), addrs, is_sending.clone()));
+    // The gateway has become a relay, and has received reports for long enough.
     time::sleep(Duration::from_millis(2_600)).await;
     let mut calls = Vec::new();
     for number in 0..6 {
@@ -136,25 +136,29 @@
         time::sleep(Duration::from_millis(47)).await;
     }
     time::sleep(Duration::from_millis(400)).await;
-    reports.store(false, Ordering::SeqCst);
+    is_sending.store(false, Ordering::SeqCst);
     gateway.clock.suspend(Duration::from_millis(1_500));
     time::sleep(Duration::from_millis(150)).await;
-    reports.store(true, Ordering::SeqCst);
+    is_sending.store(true, Ordering::SeqCst);
     for call in calls {
         let reply = call.await??;
         expect_that!((reply.status, reply.whole), eq((200, true)));
     }
     let got: usize = servers.iter().map(|server| server.got().len()).sum();
     expect_that!(got, eq(6));
-    reporting.abort();
+    reports.abort();
     Ok(())
 }
 
-/// Sidecars of servers, as the gateway hears them.
-async fn report(gateway: SocketAddr, servers: Vec<SocketAddr>, on: Arc<AtomicBool>) -> Result<()> {
+/// Sends the reports of the servers' sidecars to the gateway.
+async fn report(
+    gateway: SocketAddr,
+    servers: Vec<SocketAddr>,
+    is_sending: Arc<AtomicBool>,
+) -> Result<()> {
     let socket = UdpSocket::bind("127.0.0.1:0").await?;
     loop {
-        for server in servers.iter().filter(|_| on.load(Ordering::SeqCst)) {
+        for server in servers.iter().filter(|_| is_sending.load(Ordering::SeqCst)) {
             let told = LoadReport { running: 3, group_open: true, ..LoadReport::default() };
             let report = Message::Report(Report { server: *server, told, lead: None });
             socket.send_to(&postcard::to_stdvec(&report)?, gateway).await?;
