--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -298,9 +298,7 @@
     }
 
     fn next_fence(&mut self, evidence: Evidence) -> Action {
-        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
-            return Action::Wait;
-        };
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else { return Action::Wait };
         if self.fence_index + 1 >= fences.len() {
             return self.give_up(Some(evidence));
         }
@@ -311,9 +309,7 @@
     }
 
     fn connect_fence(&mut self, wait: Option<Duration>) -> Action {
-        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else {
-            return Action::Wait;
-        };
+        let RetryPolicy::AtMostOnce { fences, .. } = &self.policy else { return Action::Wait };
         match fences.get(self.fence_index).cloned() {
             Some(fence) => self.connect(fence, wait.unwrap_or_default()),
             None => self.give_up(None),
--- a/crates/mastweir-core/src/outcome/dedup.rs
+++ b/crates/mastweir-core/src/outcome/dedup.rs
@@ -94,7 +94,7 @@
 /// ```
 /// use mastweir_core::{
 ///     id::{Incarnation, OpId},
-///     outcome::{DedupTable, DedupLimits, Order, Refusal, Verdict},
+///     outcome::{DedupLimits, DedupTable, Order, Refusal, Verdict},
 ///     time::Uptime,
 /// };
 ///
--- a/crates/mastweir-core/src/share/limit.rs
+++ b/crates/mastweir-core/src/share/limit.rs
@@ -15,13 +15,13 @@
     rate: f64,
     burst: f64,
     level: f64,
-    at: Uptime,
+    refilled: Uptime,
 }
 
 impl TokenBucket {
     /// Creates a full bucket with `rate` units a second and a capacity of `burst` units.
-    pub const fn new(rate: f64, burst: f64, at: Uptime) -> Self {
-        Self { rate, burst, level: burst, at }
+    pub const fn new(rate: f64, burst: f64, now: Uptime) -> Self {
+        Self { rate, burst, level: burst, refilled: now }
     }
 
     /// Changes the rate and the capacity. The content stays, up to the new capacity.
@@ -52,8 +52,8 @@
     }
 
     fn refill(&mut self, now: Uptime) {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+        let passed = now.since(self.refilled).as_secs_f64();
+        self.refilled = self.refilled.max(now);
         self.level = (self.level + passed * self.rate).min(self.burst);
     }
 }
--- a/crates/mastweir-core/src/share/queue.rs
+++ b/crates/mastweir-core/src/share/queue.rs
@@ -145,20 +145,18 @@
     /// Adds a request. A full queue evicts the last request of the customer that is
     /// furthest over its share. If that is the customer of the new request, the new
     /// request is rejected unless its class is better.
-    pub fn enqueue(&mut self, request: QueuedRequest<C, T>) -> EnqueueResult<T> {
+    pub fn enqueue(&mut self, new: QueuedRequest<C, T>) -> EnqueueResult<T> {
         if self.len < self.len_limit && self.backlog < self.backlog_limit {
-            self.push(request);
+            self.push(new);
             return EnqueueResult::Queued;
         }
-        let Some(victim) = self.victim(&request) else {
-            return EnqueueResult::Full(request.item);
-        };
+        let Some(victim) = self.victim(&new) else { return EnqueueResult::Full(new.item) };
         match self.evict(victim) {
             Some(evicted) => {
-                self.push(request);
+                self.push(new);
                 EnqueueResult::Evicted(evicted.item)
             }
-            None => EnqueueResult::Full(request.item),
+            None => EnqueueResult::Full(new.item),
         }
     }
 
