--- a/crates/mastweir-core/src/gateway/choice.rs
+++ b/crates/mastweir-core/src/gateway/choice.rs
@@ -1,8 +1,9 @@
-//! The choice among the servers that a gateway knows.
+//! The choice of a server for a request, in a gateway.
 //!
-//! Reports lag, and all gateways see the same. So a choice is the least loaded of a few
-//! drawn at random, and requests sent since a report count on top of it; whether a stream
-//! is taken on at all is decided by the mean of all reports ([`StreamRequest`]).
+//! Load reports lag, and all gateways receive the same reports. To keep them from sending to
+//! the same server, a gateway draws a few servers at random and chooses the least loaded one;
+//! requests that it sent since a server's last report are added to the reported load. Whether
+//! a stream is admitted at all depends on the mean load of the service ([`StreamRequest`]).
 
 use super::{
     admission::{ServiceLoad, StreamRequest},
@@ -16,67 +17,61 @@
 use rand::Rng;
 use std::{net::SocketAddr, time::Duration};
 
-/// Why no server was found.
+/// Why no server was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No server of the service is known that might serve.
+    /// The service has no known server that may serve the request.
     NoServer,
-    /// All are full.
+    /// All servers are full.
     Full,
-    /// The groups of all of them stand still.
+    /// The rank groups of all servers are stalled.
     Stalled,
-    /// All that could serve want no requests; the first of them takes some again by then.
+    /// All servers asked for a backoff; the first one ends after this time.
     Backoff(Duration),
-    /// All that could serve name a limit, and none of it is left; some may be by then. Zero if
-    /// that is not known.
+    /// All servers are rate limited and no permits are left; the next may be granted after this
+    /// time. Zero if that is unknown.
     Limited(Duration),
 }
 
-/// A server that was chosen.
+/// A chosen server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its id.
     pub id: String,
-    /// Its life; zero if that is not known.
+    /// Zero if unknown.
     pub incarnation: u64,
-    /// Where it listens.
     pub addr: SocketAddr,
-    /// Its load at the choice, over its slots, in thousandths.
+    /// Load at the time of the choice, as a fraction of its slots, in thousandths.
     pub load_milli: u32,
-    /// Age of the report that the choice used, if there was one.
+    /// Age of the load report that was used, if any.
     pub report_age: Option<Duration>,
-    /// Milliseconds that its group's passes take, as far as is known.
+    /// Expected duration of its group's passes, in milliseconds; zero if unknown.
     pub pass_ms: f64,
 }
 
-/// What a coordinator said of its group's passes is not used longer than this; it
-/// says so again each 80 ms while it changes the map.
+/// Validity of a pass forecast; coordinators repeat it every 80 ms during a map change.
 const FORECAST_LASTS: Duration = Duration::from_millis(300);
-/// The mean load of a service's servers is used for this long: less than a pass, in which
-/// hardly any place frees.
+/// Validity of a computed service load; shorter than a pass, during which few slots are freed.
 const SERVICE_LOAD_LASTS: Duration = Duration::from_millis(20);
-/// Servers drawn for a choice.
+/// Servers drawn at random for a choice.
 const DRAWN_COUNT: usize = 4;
-/// Servers of whose reports the mean load is taken: it is off by 3 in 100 then.
+/// Servers sampled to estimate the mean load of a service.
 const SAMPLE_SIZE: usize = 64;
-/// Load of a server up to which a stream goes there that was taken on by the mean of all:
-/// of four drawn the least loaded is seldom fuller.
+/// Highest load of a server that gets a stream which was admitted by the mean load.
 const DRAWN_LOAD_MAX: f64 = 1.5;
-/// Load of another hall's server, over that of one's own: a tenth of a place.
+/// Penalty in requests for a server in another hall.
 const OTHER_HALL_LOAD: f64 = 0.1;
 
-/// What a request needs of a server.
+/// What a request requires of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// Its service.
     pub service: &'a str,
-    /// Servers that won't do any more.
+    /// Servers that must not be chosen again.
     pub tried: &'a [String],
-    /// Load over a server's slots up to which it may get the request.
+    /// Highest load of an acceptable server, as a fraction of its slots.
     pub max_load: f64,
-    /// Longest wanted pause between two events, in ms; zero if that doesn't matter.
+    /// Longest desired gap between two events, in milliseconds; zero for no such objective.
     pub gap_ms: f64,
-    /// Who asks, if the request may still be refused by the mean load of all servers.
+    /// Set if the request is subject to admission by the mean load of the service.
     pub stream: Option<StreamRequest>,
 }
 
@@ -85,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal`] says whether there is no server, or none with room.
+    /// Returns a [`Refusal`] if the service has no usable server or none with capacity.
     pub fn choose(
         &self,
         needs: Requirements<'_>,
@@ -101,8 +96,7 @@
             return Err(refusal);
         }
         let ready = self.registry.ready(service);
-        // A server's own word goes before its load: one that turns everything away looks the
-        // emptiest, and got ten requests of one gateway in 4.6 s (logs of a simulated day).
+        // Exclusions are checked before load: a server that rejects everything looks idle.
         let may_serve = |id: &str| {
             let is_tried = tried.iter().any(|other| other == id);
             !is_tried && self.exclusion(id, now).is_none()
@@ -120,15 +114,15 @@
                 status.is_silent(most_report, self.reports_until(status, now), now)
             })
         };
-        let (silent, heard): (Vec<&String>, Vec<&String>) =
+        let (silent, reporting): (Vec<&String>, Vec<&String>) =
             open.iter().copied().partition(is_silent);
-        if heard.is_empty()
+        if reporting.is_empty()
             && let Some(refusal) = self.exclusion_refusal(ready, now)
         {
             return Err(refusal);
         }
-        // When none is left the fault is more likely on this side.
-        let reachable = [heard, open, untried].into_iter().find(|ids| !ids.is_empty());
+        // If no server looks reachable, the fault is more likely on this gateway's side.
+        let reachable = [reporting, open, untried].into_iter().find(|ids| !ids.is_empty());
         let Some(reachable) = reachable else {
             let missing =
                 self.registry.last_resort(service, may_serve, now).ok_or(Refusal::NoServer)?;
@@ -140,37 +134,37 @@
         }
         let best = self.best(&draw(&usable, DRAWN_COUNT, rng), needs, now);
         let best = best.filter(|(score, _)| score.has_room(max_load));
-        // The few drawn are full: look at all of them.
+        // If the drawn servers are full, all of them are considered.
         let best = best.or_else(|| self.best(&usable, needs, now)).ok_or(Refusal::NoServer)?;
         let (score, id) = if best.0.has_room(max_load) {
             best
         } else if best.0.is_stalled {
             return Err(Refusal::Stalled);
         } else {
-            // Sidecars may be lost where servers are not.
-            let unheard = self.best(&silent, needs, now);
-            unheard.filter(|(score, _)| score.has_room(max_load)).ok_or(Refusal::Full)?
+            // A sidecar may be unreachable while its server still works.
+            let best_silent = self.best(&silent, needs, now);
+            best_silent.filter(|(score, _)| score.has_room(max_load)).ok_or(Refusal::Full)?
         };
         let server = self.registry.server(id).ok_or(Refusal::NoServer)?;
         Ok(self.candidate(server, score, now))
     }
 
-    /// Chooses among the servers for which a token was lent. They go first, since a token
-    /// lapses, and what a limited server takes counts for no other: it is left out of the mean
-    /// load, where its empty places would count as room.
+    /// Chooses among the rate-limited servers for which this gateway holds a permit. They are
+    /// preferred because permits expire. Limited servers are left out of the mean load, where
+    /// their free slots would count as capacity.
     fn choose_permitted(&self, needs: Requirements<'_>, now: Uptime) -> Option<Candidate> {
-        let fits = |id: &&String| {
+        let is_eligible = |id: &&String| {
             let server = self.registry.server(id);
             let is_listed = server.is_some_and(|server| server.service == needs.service);
             is_listed && self.is_usable(id, needs, now)
         };
-        let lent: Vec<&String> = self.permits.servers(now).filter(fits).collect();
-        let best = self.best(&lent, needs, now);
+        let permitted: Vec<&String> = self.permits.servers(now).filter(is_eligible).collect();
+        let best = self.best(&permitted, needs, now);
         let (score, id) = best.filter(|(score, _)| score.has_room(needs.max_load))?;
         Some(self.candidate(self.registry.server(id)?, score, now))
     }
 
-    /// Whether a server may get a request for which a token was lent.
+    /// Whether a rate-limited server may get a request under a permit.
     fn is_usable(&self, id: &String, needs: Requirements<'_>, now: Uptime) -> bool {
         let ready = self.registry.ready(needs.service);
         let is_limited = matches!(self.exclusion(id, now), Some(Exclusion::Limited(_)));
@@ -178,15 +172,14 @@
             return false;
         }
         let most_report = self.most_report(ready, now);
-        let is_left_out = self.statuses.get(id).is_some_and(|status| {
+        let is_avoided = self.statuses.get(id).is_some_and(|status| {
             let is_silent = status.is_silent(most_report, self.reports_until(status, now), now);
             is_silent || status.is_unconnectable(now) || status.is_failing(now)
         });
-        !is_left_out && self.registry.is_current(id, now)
+        !is_avoided && self.registry.is_current(id, now)
     }
 
-    /// Why none of these servers gets requests, and when the first may, if any said so itself
-    /// for a time.
+    /// Returns the refusal of the temporary exclusion that ends first, if any server has one.
     fn exclusion_refusal(&self, ids: &[String], now: Uptime) -> Option<Refusal> {
         let refusals = ids.iter().filter_map(|id| match self.exclusion(id, now)? {
             Exclusion::Backoff(left) => Some((left, Refusal::Backoff(left))),
@@ -196,7 +189,7 @@
         refusals.min_by_key(|(left, _)| *left).map(|(_, refusal)| refusal)
     }
 
-    /// Chooses a server for a stream that may still be refused.
+    /// Chooses a server for a stream that is subject to admission.
     fn choose_for(
         &self,
         stream: StreamRequest,
@@ -218,34 +211,35 @@
         Ok(self.candidate(server, score, now))
     }
 
-    /// Mean load of these servers over their places, and of their groups' passes; none if
-    /// the groups of all stand still.
+    /// Returns the mean load of these servers as a fraction of their slots, and the mean
+    /// duration of their passes in milliseconds; `None` if all of their groups are stalled.
     fn service_load(&self, ids: &[&String], now: Uptime) -> Option<(f64, f64)> {
-        let fits = ids.iter().map(|id| self.score(id, 0.0, now)).filter(|score| !score.is_stalled);
+        let scores =
+            ids.iter().map(|id| self.score(id, 0.0, now)).filter(|score| !score.is_stalled);
         let sum = |(load, pass_ms, count): (f64, f64, f64), score: Score| {
             (load + score.occupancy, pass_ms + score.pass_ms, count + 1.0)
         };
-        let (load, pass_ms, count) = fits.fold((0.0, 0.0, 0.0), sum);
+        let (load, pass_ms, count) = scores.fold((0.0, 0.0, 0.0), sum);
         (count > 0.0).then(|| (load / count, pass_ms / count))
     }
 
-    /// Milliseconds of a pass of a service's groups, on average, by what was last asked for;
-    /// zero before that.
+    /// Returns the mean duration of the passes of a service's groups in milliseconds, as of the
+    /// last computed service load; zero before the first.
     pub fn pass_ms_of(&self, service: &str) -> f64 {
         let loads = self.service_loads.borrow();
         let load = loads.get(service).and_then(|mean| mean.load);
         load.map_or(0.0, |(_, pass_ms)| pass_ms)
     }
 
-    /// Whether a stream was refused by what is known of its service's servers a moment ago:
-    /// a hundred that wait would each ask all of them.
+    /// Refuses a stream by the cached service load, so that many waiting requests don't each
+    /// compute it.
     fn is_refused(&self, service: &str, stream: StreamRequest, now: Uptime) -> Option<Refusal> {
         let loads = self.service_loads.borrow();
         let mean = loads.get(service).filter(|mean| now.since(mean.at) < SERVICE_LOAD_LASTS)?;
         admit(*mean, stream).err()
     }
 
-    /// Those whose requests don't fail, or all if that is most of them.
+    /// Returns the servers without recent failures, or all servers if most have failures.
     fn without_failing<'a>(&self, ids: Vec<&'a String>, now: Uptime) -> Vec<&'a String> {
         let is_failing =
             |id: &&String| self.statuses.get(*id).is_some_and(|status| status.is_failing(now));
@@ -253,16 +247,16 @@
         if sound.len() * 2 < ids.len() { ids } else { sound }
     }
 
-    /// The server that fits best; any with room before one without.
+    /// Returns the server with the lowest score, preferring those with capacity.
     fn best<'a>(
         &self,
         ids: &[&'a String],
         needs: Requirements<'_>,
         now: Uptime,
     ) -> Option<(Score, &'a String)> {
-        let fits = ids.iter().map(|id| (self.score(id, needs.gap_ms, now), *id));
+        let scores = ids.iter().map(|id| (self.score(id, needs.gap_ms, now), *id));
         let rank = |score: Score| (!score.has_room(needs.max_load), score.total());
-        fits.min_by(|a, b| {
+        scores.min_by(|a, b| {
             let (a, b) = (rank(a.0), rank(b.0));
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
         })
@@ -271,29 +265,29 @@
     fn score(&self, id: &str, gap_ms: f64, now: Uptime) -> Score {
         let Some(server) = self.registry.server(id) else { return Score::default() };
         let status = self.statuses.get(id);
-        let places = f64::from(server.slots.max(1));
-        let away = if server.hall == self.hall { 0.0 } else { OTHER_HALL_LOAD };
+        let slots = f64::from(server.slots.max(1));
+        let remote = if server.hall == self.hall { 0.0 } else { OTHER_HALL_LOAD };
         let report = status.and_then(|status| status.report.as_ref());
         let report = report.filter(|(at, _)| now.since(*at) < REPORT_LASTS);
         let own = status.map_or(0, |status| status.in_flight);
         let Some((_, report)) = report else {
-            let occupancy = f64::from(own) / places;
-            return Score { load: occupancy + away / places, occupancy, ..Score::default() };
+            let occupancy = f64::from(own) / slots;
+            return Score { load: occupancy + remote / slots, occupancy, ..Score::default() };
         };
         let since = status.map_or(0, |status| status.sent.len() as u32);
         let ended = status.map_or(0, |status| status.ended.len() as u32);
         let load = (report.running + report.waiting + since).saturating_sub(ended).max(own);
         let pass_ms = self.pass_ms(report, now);
         let excess = if gap_ms > 0.0 { (pass_ms / gap_ms - 1.0).max(0.0) } else { 0.0 };
-        // Its whole group waits for a slow server, the longer the more it has.
-        let pace = f64::from(report.pace_milli.max(1_000)) / 1_000.0;
-        let occupancy = f64::from(load) / places;
-        let load = occupancy * pace + away / places;
+        // The whole group waits for its slowest rank, the longer the more requests it runs.
+        let slowdown = f64::from(report.slowdown_milli.max(1_000)) / 1_000.0;
+        let occupancy = f64::from(load) / slots;
+        let load = occupancy * slowdown + remote / slots;
         Score { load, occupancy, excess, pass_ms, is_stalled: !report.group_open }
     }
 
-    /// Milliseconds of a pass of a server's group: what its coordinator expects, or
-    /// what its sidecar saw.
+    /// Returns the duration of a pass of a server's group in milliseconds: the coordinator's
+    /// forecast if it is current, else what the sidecar measured.
     fn pass_ms(&self, report: &LoadReport, now: Uptime) -> f64 {
         let forecast = report.group.as_ref().and_then(|group| self.forecasts.get(group));
         let forecast = forecast.filter(|forecast| now.since(forecast.at) < FORECAST_LASTS);
@@ -322,7 +316,7 @@
     picks.into_iter().map(|at| ids[at]).collect()
 }
 
-/// Whether servers that are so loaded take a stream on.
+/// Admits or refuses a stream by the service load.
 fn admit(mean: ServiceLoad, stream: StreamRequest) -> Result<(), Refusal> {
     match mean.admits(stream) {
         None => Err(Refusal::Stalled),
--- a/crates/mastweir-core/src/gateway/config.rs
+++ b/crates/mastweir-core/src/gateway/config.rs
@@ -1,63 +1,59 @@
-//! The configuration in force, and the route of a request.
+//! The configuration of gateways and the lookup of a request's route.
 //!
-//! A [`Config`] is replaced as a whole, and only by a higher version. It is
-//! indexed once a version ([`RouteIndex`]), since an installation may have
-//! thousands of routes and each request looks one up.
+//! A [`Config`] is replaced as a whole, and only by a higher version. Its routes are indexed
+//! once per version ([`RouteIndex`]), because there may be thousands and each request looks
+//! one up.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// A stream of events.
+    /// Answered by a stream of events.
     Stream,
 }
 
-/// A service that a route leads to.
+/// A service to which a route sends requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service's name.
     pub service: String,
-    /// Its part of the route's requests, over the sum of all parts.
+    /// Share of the route's requests, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// Where requests of a host and path prefix go, and how they are treated.
+/// Where requests for a host and path prefix are sent, and how they are treated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name for logs.
     pub name: String,
-    /// Host that it belongs to.
     pub host: String,
-    /// Beginning of the paths that it takes; ends with a slash.
+    /// Prefix of the route's paths; ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
     pub kind: Kind,
-    /// Services, by weight.
     pub targets: Vec<Target>,
-    /// Longest time that a request is held, in ms.
+    /// Longest time that a request may wait, in milliseconds.
     pub timeout_ms: u64,
-    /// Time in which an answer is wanted, in ms.
+    /// Desired time to an answer, in milliseconds.
     pub objective_ms: u64,
-    /// Longest wanted pause between two events of a stream, in ms.
+    /// Longest desired gap between two events of a stream, in milliseconds.
     pub gap_ms: u64,
-    /// Rank among routes; 0 goes first.
+    /// Priority among routes; 0 is the highest.
     pub priority: u8,
-    /// Servers to which one request may be sent.
+    /// Number of servers to which one request may be sent.
     pub attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may be taken up by another server.
+    /// Whether a stream may be resumed by another server.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request may run again after it may have run.
+    /// Whether a request that may have run may run again.
     pub const fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Repeatable => true,
@@ -67,90 +63,86 @@
     }
 }
 
-/// A model's engine, as far as decisions need it.
+/// Properties of a model's engine that decisions depend on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// Requests that a server runs at once.
     pub slots: u32,
-    /// Sets of layers that share a choice of experts.
+    /// Number of sets of layers that share an expert placement.
     pub sets: usize,
-    /// Experts in a set.
+    /// Number of experts in a set.
     pub experts: usize,
-    /// Experts that a rank can hold in a set.
+    /// Number of experts that a rank can hold in a set.
     pub expert_slots: usize,
-    /// Experts new to a rank in a set that one load may bring.
+    /// Most experts of a set that are new to a rank in one load.
     pub max_new: usize,
-    /// Seconds that loading one expert takes a rank.
+    /// Seconds that a rank takes to load one expert.
     pub load_s: f64,
-    /// Megabytes of one expert.
+    /// Size of one expert in megabytes.
     pub load_mb: f64,
-    /// What makes up a pass.
     pub pass: PassCost,
 }
 
-/// What makes up a pass of a group, from the engine's own figures.
+/// Cost model of a group's passes, with the engine's own figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PassCost {
-    /// Steps in a pass.
+    /// Number of steps in a pass.
     pub steps: f64,
-    /// Milliseconds of a step.
     pub step_ms: f64,
-    /// Milliseconds more for each request that runs at a rank.
+    /// Additional milliseconds per step for each request that runs on a rank.
     pub request_ms: f64,
-    /// Part of this work that is done by experts, 0 to 1.
+    /// Fraction of the work that is done by experts, 0 to 1.
     pub expert_fraction: f64,
 }
 
 impl PassCost {
-    /// Milliseconds of a pass without prompts, by the requests that run at a rank on
-    /// average, and the most loaded rank's part of the experts' work over the mean.
+    /// Returns the duration of a pass without prompts in milliseconds. `running`: mean number of
+    /// requests per rank; `skew`: expert work of the most loaded rank relative to the mean.
     pub fn pass_ms(&self, running: f64, skew: f64) -> f64 {
         let work = self.steps * (self.step_ms + self.request_ms * running);
         work * (1.0 - self.expert_fraction + self.expert_fraction * skew)
     }
 }
 
-/// Servers of one kind.
+/// Properties of a service's servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections that one server takes from all callers together.
+    /// Connections that one server accepts from all clients together.
     pub connections: u32,
-    /// The engine, if it is a model's.
+    /// Set if the servers run a model.
     pub model: Option<Model>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest request head.
     pub header_bytes: usize,
-    /// Bytes of its body.
+    /// Largest request body.
     pub body_bytes: usize,
-    /// Milliseconds until the head is complete.
+    /// Longest time until the head is complete.
     pub header_ms: u64,
-    /// Milliseconds that a connection may idle.
+    /// Longest time that a connection may be idle.
     pub idle_ms: u64,
 }
 
 impl Default for Limits {
-    /// Until a configuration is known: the usual ones of HTTP servers.
+    /// Returns limits common for HTTP servers, used until a configuration is known.
     fn default() -> Self {
         Self { header_bytes: 16_384, body_bytes: 4 << 20, header_ms: 10_000, idle_ms: 60_000 }
     }
 }
 
-/// All of it, in one version.
+/// The complete configuration in one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Version; a higher one replaces a lower one.
+    /// A higher version replaces a lower one.
     pub version: u64,
-    /// Routes.
     pub routes: Vec<Route>,
-    /// Services by name.
+    /// By name.
     pub services: HashMap<String, Service>,
-    /// Customers by key; none if requests need no key.
+    /// Customers by key; `None` if requests need no key.
     pub customers: Option<HashMap<String, String>>,
-    /// Bounds on what callers may send.
     pub limits: Limits,
 }
 
@@ -171,7 +163,7 @@
         Self { hosts }
     }
 
-    /// Number of the route with the longest prefix of a path.
+    /// Returns the index of the route with the longest matching prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<usize> {
         let prefixes = match self.hosts.get(host) {
             Some(prefixes) => prefixes,
--- a/crates/mastweir-core/src/gateway/deferral.rs
+++ b/crates/mastweir-core/src/gateway/deferral.rs
@@ -1,24 +1,21 @@
-//! When a new stream is held back, so that those that run keep pace.
+//! Deferral of new streams while passes are slow, in a gateway.
 //!
-//! Demand shifts from one moment to the next, and until the map has followed, passes
-//! are two to three times as long. Each stream that begins meanwhile makes them
-//! longer still, and then all that run are late by a single pause. A new one has time:
-//! its first event may come much later than two passes from now.
+//! After a shift of demand, passes take longer until the expert map has followed. Each new
+//! stream makes them longer still, and all running streams may miss their gap objective. A
+//! new stream can wait as long as its first event still meets the route's objective.
 
 use std::time::Duration;
 
-/// Part of the longest wanted pause up to which a pass takes new streams at once. At 0.65,
-/// 0.8 in 100 more streams are late (means of 15 simulated days).
-const PASS_PART: f64 = 0.8;
-/// Passes until the first event: the rest of the one under way, the one that reads the
-/// prompt, and half of one for what the prediction lacks. With 2, 0.5 in 100 more
-/// streams are late (means of 15 simulated days).
+/// Fraction of the gap objective up to which passes allow new streams without delay.
+const MAX_PASS_FRACTION: f64 = 0.8;
+/// Passes until the first event: the rest of the current one, the one that reads the prompt,
+/// and a margin.
 const FIRST_PASSES: f64 = 2.5;
 
-/// Time from its arrival for which a stream is held back at most, where passes take so
-/// long: as long as its first event will still be in time.
+/// Returns the longest time from its arrival for which a stream may be deferred, given the
+/// duration of passes, such that its first event still meets the objective.
 pub fn max_deferral(pass_ms: f64, gap_ms: f64, objective: Duration) -> Duration {
-    if gap_ms <= 0.0 || pass_ms <= gap_ms * PASS_PART {
+    if gap_ms <= 0.0 || pass_ms <= gap_ms * MAX_PASS_FRACTION {
         return Duration::ZERO;
     }
     let first = Duration::from_secs_f64(pass_ms * FIRST_PASSES / 1_000.0);
--- a/crates/mastweir-core/src/gateway/directory.rs
+++ b/crates/mastweir-core/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says of servers, in one revision.
+//! The list of servers in the platform's store as of one revision, and changes of it.
 
 use crate::revision::Revision;
 use serde::{Deserialize, Serialize};
@@ -7,67 +7,61 @@
     net::SocketAddr,
 };
 
-/// What a server says of its own life.
+/// State that a server states in its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
     /// Takes requests.
     Ready,
-    /// Finishes what it has.
+    /// Finishes its requests and takes no more.
     Leaving,
 }
 
-/// A server.
+/// Entry of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Its name, which it may keep over a restart.
+    /// Name of the server, which it may keep over a restart.
     pub id: String,
-    /// Names this life of it; zero if it does not say.
+    /// Distinguishes starts of the server; zero if not stated.
     pub incarnation: u64,
-    /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
     pub addr: SocketAddr,
-    /// Its data hall.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Requests that the server runs at once.
     pub slots: u32,
-    /// Whether it takes requests.
     pub state: ServerState,
-    /// Revision of the list at which its entry last changed.
+    /// Revision at which the entry last changed.
     pub changed: Revision,
 }
 
-/// All servers, as of one revision of the platform's list.
+/// All servers as of one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
-    /// Revision of the list.
     pub revision: Revision,
-    /// Servers by id.
+    /// By id.
     pub servers: BTreeMap<String, Server>,
-    /// Those among them that the list lacks: their entries lapsed in an outage, and
-    /// they may be about to write themselves again.
+    /// Ids of servers in `servers` that are missing from the store because their entries expired
+    /// in an outage; they may be written again.
     pub expired: BTreeSet<String>,
 }
 
-/// What changed in a list of servers since a revision, or all of it: 60 bytes a server
-/// that changed, where 3,100 servers are 200 KB.
+/// Changes of a directory since a revision, or the complete directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryChange {
-    /// Revision up to which it goes.
+    /// Revision after the changes.
     pub revision: Revision,
-    /// Whether these are all servers.
+    /// Whether `servers` are all servers rather than changes.
     pub is_complete: bool,
-    /// Servers that are new or have changed.
+    /// New and changed servers.
     pub servers: Vec<Server>,
-    /// Ids of those that are gone.
+    /// Ids of removed servers.
     pub removed: Vec<String>,
-    /// Ids of those that lapsed.
+    /// Ids of expired servers.
     pub expired: BTreeSet<String>,
 }
 
 impl Directory {
-    /// This list with a change of it. What lapsed here alone, since the store came back from
-    /// a copy that lacks it, stays lapsed until the change names it.
+    /// Returns the directory with a change applied. Servers that expired in this directory alone
+    /// stay expired until a change includes them.
     #[must_use]
     pub fn changed(&self, change: DirectoryChange) -> Self {
         let DirectoryChange { revision, is_complete, servers, removed, mut expired } = change;
--- a/crates/mastweir-core/src/gateway/event_splitter.rs
+++ b/crates/mastweir-core/src/gateway/event_splitter.rs
@@ -1,14 +1,14 @@
-//! A stream of events, cut into whole ones.
+//! Splitting of a server-sent event stream into complete events, in a gateway.
 //!
-//! Only whole events are passed on: a server may stop inside one, and the server
-//! that takes the stream up begins with the event after the last whole one.
+//! Only complete events are forwarded: a server may fail in the middle of one, and the server
+//! that resumes the stream starts with the event after the last complete one.
 
 use std::mem;
 
-/// Largest event that is waited for. Beyond it the stream counts as broken.
+/// Largest accepted event; a stream with a larger one counts as broken.
 const EVENT_BYTES_MAX: usize = 256 << 10;
 
-/// Splits a stream's bytes at the ends of events, and remembers the last id.
+/// Splits the bytes of a stream at the ends of events and keeps the last event id.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
@@ -16,12 +16,12 @@
 }
 
 impl EventSplitter {
-    /// A stream that goes on behind `last_id`, if it does.
+    /// Creates a splitter for a stream that resumes after `last_id`, if given.
     pub fn after(last_id: Option<String>) -> Self {
         Self { partial: Vec::new(), last_id }
     }
 
-    /// Takes bytes in; gives those up to the end of the last whole event.
+    /// Adds bytes and returns those up to the end of the last complete event.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         let searched = self.partial.len().saturating_sub(3);
         self.partial.extend_from_slice(bytes);
@@ -34,28 +34,28 @@
         whole
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether no event is half there.
+    /// Whether no incomplete event is buffered.
     pub fn is_at_boundary(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Whether the event that is half there has grown past any sense.
+    /// Whether the incomplete event exceeds the size limit.
     pub fn is_oversized(&self) -> bool {
         self.partial.len() > EVENT_BYTES_MAX
     }
 
-    /// Forgets the event that is half there: another server goes on.
+    /// Discards the incomplete event, before another server resumes the stream.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// End of the last event that is whole: behind an empty line.
+/// Returns the end of the last complete event, which is after an empty line.
 fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).rev().find_map(|at| {
         let rest = &bytes[at..];
--- a/crates/mastweir-core/src/gateway/fleet.rs
+++ b/crates/mastweir-core/src/gateway/fleet.rs
@@ -1,8 +1,9 @@
 //! The servers that a gateway knows.
 //!
-//! [`Fleet`] joins which servers there are ([`ServerRegistry`]) with what this gateway sees
-//! itself ([`ServerStatus`]): its requests in flight, the reports of the servers' sidecars, and
-//! how attempts ended. The choice among them stands in [`super::choice`].
+//! [`Fleet`] combines the list of servers ([`ServerRegistry`]) with the status of each server
+//! as this gateway sees it ([`ServerStatus`]): its requests in flight, the load reports of the
+//! servers' sidecars, and the outcome of attempts. The choice of a server is in
+//! [`super::choice`].
 
 use super::{
     admission::ServiceLoad,
@@ -16,74 +17,70 @@
 use crate::{revision::Revision, time::Uptime};
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
-/// What a sidecar said is told on for this long: by then its silence counts no more.
+/// Load reports are forwarded up to this age; after that, silence of the sidecar is ignored.
 const FORWARD_LASTS: Duration = Duration::from_secs(10);
-/// A gateway that sidecars are to report to hears them by then: they are greeted twice a
-/// second.
+/// Time after which a new relay gateway counts on receiving reports; it announces itself to
+/// sidecars twice a second.
 const RECEIVING_AFTER: Duration = Duration::from_secs(2);
-/// The number of its last word is remembered longer: none is on its way after that.
+/// Sequence numbers of forecasts are kept until no older forecast can still arrive.
 const FORECASTS_KEPT: Duration = Duration::from_secs(30);
-/// Passes without an event after which a connection is taken for one that went silent. What
-/// is known of a server's passes may be four behind; the others leave room for a prompt that
-/// is read again when memory runs out.
+/// Passes without an event after which a stream counts as silent. Covers the lag of reports
+/// and a prompt that is read again after its cache was evicted.
 const SILENT_STREAM_PASSES: u64 = 12;
-/// Failures in a row after which a server is left out for a while.
+/// Consecutive failures after which a server is avoided for a while.
 const FAILURES_MAX: u32 = 3;
-/// Load over its slots up to which a server that refuses is taken for one that can't
-/// serve, not for a full one.
+/// A server that refuses a request below this load, as a fraction of its slots, counts as
+/// unable to serve rather than full.
 const REFUSED_LOAD_MAX: f64 = 0.8;
-/// Servers with what is known of each.
+
+/// All known servers and their status.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     pub(super) hall: String,
     pub(super) registry: ServerRegistry,
     pub(super) statuses: HashMap<String, ServerStatus>,
-    /// What servers said of themselves in their answers.
     pub(super) notices: ServerNotices,
-    /// Limits that they named there.
     pub(super) limits: RateLimits,
-    /// Tokens for servers that name one.
     pub(super) permits: PermitPool,
-    /// What each group's coordinator said of its passes.
+    /// By group.
     pub(super) forecasts: HashMap<String, PassForecast>,
-    /// Loads of the services' servers, by what was last asked for.
+    /// Last computed load of each service.
     pub(super) service_loads: RefCell<HashMap<String, ServiceLoad>>,
-    /// Since when sidecars report here, if they do.
+    /// Since when sidecars report to this gateway, if they do.
     receiving: Option<Uptime>,
 }
 
-/// What is new in what was told of a server.
+/// What a load report changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReportChanges {
-    /// It leaves.
+    /// The server has begun to leave.
     pub leaving: bool,
-    /// Its limit changed.
     pub limit: Option<LimitChange>,
 }
 
-/// What a coordinator said of its group's passes.
+/// A coordinator's forecast of its group's passes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PassForecast {
     pub(super) at: Uptime,
-    /// Its token, and the number of the word.
-    word: (u64, u64),
+    /// Fencing token of the coordinator, and number of the forecast.
+    sequence: (u64, u64),
     pub(super) pass_ms: f64,
 }
 
 impl Fleet {
-    /// A fleet as seen from a hall.
+    /// Creates the fleet of a gateway in a hall.
     pub fn new(hall: &str) -> Self {
         Self { hall: hall.to_owned(), ..Self::default() }
     }
 
-    /// The list in force.
+    /// Returns the current list of servers.
     pub const fn directory(&self) -> &Directory {
         self.registry.directory()
     }
 
-    /// Takes a newer list in. Older ones are ignored, so no peer and no stale
-    /// read takes a gateway back. Right behind an outage of the platform's list,
-    /// what it lacks may have lapsed, and is kept for now.
+    /// Replaces the list by a newer one; older ones are ignored and return false. After an
+    /// outage of the store, entries that are missing from the list may have expired and are kept
+    /// for a while.
     pub fn replace(&mut self, directory: Directory, after_outage: bool, now: Uptime) -> bool {
         if !self.registry.replace(directory, after_outage, now) {
             return false;
@@ -97,20 +94,18 @@
         true
     }
 
-    /// The list in force was read as a whole. Others who hold an older one are given all of
-    /// it: what came and went between is in neither, and a gateway that had heard of such a
-    /// server from a third kept it for good (a fuzz of five gateways).
+    /// Forgets removed servers after a full read of the list, which misses servers that were
+    /// added and removed in between. Peers with an older list then get the complete list.
     pub fn forget_removals(&mut self) {
         self.registry.forget_removals();
     }
 
-    /// Servers went by that revision, as a watch tells, whether or not they were ever in the
-    /// list here.
+    /// Records servers as removed by a revision, whether or not they were in the list.
     pub fn record_removed(&mut self, ids: &[String], revision: Revision) {
         self.registry.record_removed(ids, revision);
     }
 
-    /// Drops servers that lapsed and did not come back; gives their ids.
+    /// Drops expired servers that did not reappear in time and returns their ids.
     pub fn drop_expired(&mut self, now: Uptime) -> Vec<String> {
         let removed = self.registry.drop_expired(now);
         self.forget_removed(now);
@@ -125,13 +120,13 @@
         self.statuses.retain(|id, status| registry.server(id).is_some() || status.in_flight > 0);
     }
 
-    /// Takes in what a server's sidecar says; gives what is news of the server itself.
+    /// Records a load report of a server's sidecar and returns what it changed.
     pub fn record_report(&mut self, id: &str, report: LoadReport, now: Uptime) -> ReportChanges {
         self.record_forwarded(id, report, Duration::ZERO, now)
     }
 
-    /// Takes in what a server's sidecar said `age` ago, as another gateway tells it on; gives
-    /// what is news of the server itself.
+    /// Records a load report of the given age that another gateway forwarded, and returns what
+    /// it changed.
     pub fn record_forwarded(
         &mut self,
         id: &str,
@@ -146,11 +141,11 @@
         if !status.set_incarnation(report.incarnation) {
             return ReportChanges::default();
         }
-        // Reports that never named a limit say nothing of one.
+        // Sidecars that never report limits can't report that one has ended.
         status.reports_limit |= report.limit.is_some();
-        let word = LimitReport::from_sidecar(report.limit, now - age);
+        let limit_report = LimitReport::from_sidecar(report.limit, now - age);
         let limit = if status.reports_limit {
-            self.limits.record(id, report.incarnation, word, now)
+            self.limits.record(id, report.incarnation, limit_report, now)
         } else {
             None
         };
@@ -159,18 +154,17 @@
         ReportChanges { leaving, limit }
     }
 
-    /// The newest life of a server at an address.
+    /// Returns the id of the newest server at an address.
     pub fn id_at(&self, addr: SocketAddr) -> Option<&str> {
         self.registry.at(addr)
     }
 
-    /// From now on sidecars report here, or, with none, only others tell of them.
+    /// Sets since when sidecars report to this gateway; `None` if reports are only forwarded.
     pub fn set_receiving(&mut self, since: Option<Uptime>) {
         self.receiving = since;
     }
 
-    /// What sidecars said, with the time since then, and where: as far as it still tells
-    /// something.
+    /// Returns the load reports that are recent enough to forward, with their servers and ages.
     pub fn loads(&self, now: Uptime) -> impl Iterator<Item = (&Server, Duration, &LoadReport)> {
         self.registry.directory().servers.values().filter_map(move |server| {
             let status = self.statuses.get(&server.id).filter(|status| status.from_sidecar)?;
@@ -181,41 +175,41 @@
         })
     }
 
-    /// What changed in the list since a revision.
+    /// Returns the changes of the list since a revision.
     pub fn changes_since(&self, revision: Revision) -> DirectoryChange {
         self.registry.changes_since(revision)
     }
 
-    /// Until when the age of what a sidecar said counts: now where sidecars report here,
-    /// else when another gateway last told of it. One that hears neither must not take all
-    /// servers for silent.
+    /// Returns the time up to which a server's silence is counted: now if sidecars report to
+    /// this gateway, else when a report was last forwarded. A gateway that receives neither must
+    /// not take all servers for silent.
     pub(super) fn reports_until(&self, status: &ServerStatus, now: Uptime) -> Uptime {
-        let receiving = self.receiving.is_some_and(|since| now.since(since) >= RECEIVING_AFTER);
-        if receiving { now } else { status.last_mention }
+        let is_receiving = self.receiving.is_some_and(|since| now.since(since) >= RECEIVING_AFTER);
+        if is_receiving { now } else { status.last_received }
     }
 
-    /// A group's coordinator expects its passes to take so long. False if that word of it,
-    /// or a later one, was heard: then it is not told on.
+    /// Records the forecast of a group's coordinator. Returns false if it is not newer than the
+    /// known one, and then need not be forwarded.
     pub fn record_forecast(
         &mut self,
         group: &str,
-        word: (u64, u64),
+        sequence: (u64, u64),
         pass_ms: u32,
         now: Uptime,
     ) -> bool {
-        if self.forecasts.get(group).is_some_and(|known| known.word >= word) {
+        if self.forecasts.get(group).is_some_and(|known| known.sequence >= sequence) {
             return false;
         }
         self.forecasts.retain(|_, known| now.since(known.at) < FORECASTS_KEPT);
-        let forecast = PassForecast { at: now, word, pass_ms: f64::from(pass_ms) };
+        let forecast = PassForecast { at: now, sequence, pass_ms: f64::from(pass_ms) };
         self.forecasts.insert(group.to_owned(), forecast);
         true
     }
 
-    /// Takes in the load that a server wrote into an answer.
+    /// Records the load that a server states in an answer.
     pub fn record_answer_load(&mut self, id: &str, running: u32, waiting: u32, now: Uptime) {
         let Some(status) = self.statuses.get_mut(id) else { return };
-        // A sidecar says more, and sooner.
+        // A sidecar's report has more detail.
         let fresh = status.from_sidecar
             && status.report.as_ref().is_some_and(|(at, _)| now.since(*at) < REPORT_LASTS);
         if fresh {
@@ -227,15 +221,15 @@
         status.discard_before(now);
     }
 
-    /// A request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn record_sent(&mut self, id: &str, now: Uptime) {
         let status = self.statuses.entry(id.to_owned()).or_default();
         status.in_flight += 1;
         status.record_sent(now);
     }
 
-    /// A request ended that was sent to one life of a server; `failed` if it got no whole
-    /// answer. Of a life that is over nothing is kept.
+    /// Records the end of a request that was sent to an incarnation of a server; `failed` if it
+    /// got no complete answer. Ignored for a previous incarnation.
     pub fn record_ended(&mut self, id: &str, incarnation: u64, failed: bool, now: Uptime) {
         let Some(status) =
             self.statuses.get_mut(id).filter(|status| !status.is_superseded(incarnation))
@@ -251,9 +245,9 @@
         }
     }
 
-    /// A server refused a request that it had room for: its group stands still, and
-    /// with it all servers of that group, until their sidecars say otherwise. One that names a
-    /// limit has room in its places and speaks of itself alone.
+    /// Records that a server refused a request. If it had capacity, its group is stalled, so all
+    /// servers of the group count as stalled until their sidecars report otherwise. A refusal of
+    /// a rate-limited server says nothing of its group.
     pub fn record_refused(&mut self, id: &str, load_milli: u32, now: Uptime) {
         let is_full = f64::from(load_milli) >= REFUSED_LOAD_MAX * 1_000.0;
         if is_full || self.limit(id).is_some() {
@@ -265,53 +259,54 @@
             status.report = Some((now, LoadReport { group_open: false, ..LoadReport::default() }));
             return;
         }
-        let report = self.statuses.values_mut().filter_map(|status| status.report.as_mut());
-        report
+        let reports = self.statuses.values_mut().filter_map(|status| status.report.as_mut());
+        reports
             .filter(|(_, report)| report.group == group)
             .for_each(|(_, report)| report.group_open = false);
     }
 
-    /// A life of a server says that it leaves: it gets no new requests. True if that is news.
+    /// Records that an incarnation of a server is leaving and gets no new requests. Returns true
+    /// if that is new.
     pub fn mark_leaving(&mut self, id: &str, incarnation: u64, now: Uptime) -> bool {
         !self.is_superseded(id, incarnation) && self.notices.mark_leaving(id, incarnation, now)
     }
 
-    /// A life of a server wants no requests of this gateway for a time.
+    /// Records that an incarnation of a server wants no requests of this gateway for a time.
     pub fn set_backoff(&mut self, id: &str, incarnation: u64, wait: Duration, now: Uptime) {
         if !self.is_superseded(id, incarnation) {
             self.notices.set_backoff(id, incarnation, now + wait, now);
         }
     }
 
-    /// An answer of a life of a server, or another gateway's word of one, tells whether it
-    /// names a limit; gives what that changes.
+    /// Records the rate limit of an incarnation of a server, or its absence, as stated in an
+    /// answer or by another gateway. Returns the change, if any.
     pub fn record_limit(
         &mut self,
         id: &str,
         incarnation: u64,
-        word: LimitReport,
+        report: LimitReport,
         now: Uptime,
     ) -> Option<LimitChange> {
         if self.is_superseded(id, incarnation) {
             None
         } else {
-            self.limits.record(id, incarnation, word, now)
+            self.limits.record(id, incarnation, report, now)
         }
     }
 
-    /// Limits to be told to other gateways: what changed a moment ago, or `all` that holds.
+    /// Returns the limits to send to other gateways: those that changed recently, or `all`.
     pub fn limits_to_send(&self, all: bool, now: Uptime) -> Vec<LimitUpdate> {
         self.limits.updates(all, now)
     }
 
-    /// Whether another life of a server has begun since: late word of this one is not its.
+    /// Whether a later incarnation of a server is known, so that late reports are ignored.
     fn is_superseded(&self, id: &str, incarnation: u64) -> bool {
         self.statuses.get(id).is_some_and(|status| status.is_superseded(incarnation))
     }
 
-    /// Why a server gets no requests, by what it said itself, if so.
+    /// Returns why a server gets no requests at present, if it excluded itself.
     pub fn exclusion(&self, id: &str, now: Uptime) -> Option<Exclusion> {
-        // Most of the time none has said anything, and each choice asks for all servers.
+        // Fast path: each choice checks all servers, and usually none is excluded.
         if self.notices.is_empty() && self.limits.is_empty() {
             return None;
         }
@@ -324,22 +319,22 @@
         })
     }
 
-    /// Whether any server names a limit.
+    /// Whether any server has a rate limit.
     pub fn has_limits(&self) -> bool {
         !self.limits.is_empty()
     }
 
-    /// The limit that a server names, if it does.
+    /// Returns a server's rate limit, if it has one.
     pub fn limit(&self, id: &str) -> Option<Rate> {
         self.limits.rate(id, self.statuses.get(id).map_or(0, |status| status.incarnation))
     }
 
-    /// Servers that name a limit, as far as they are listed.
+    /// Returns the listed servers that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = &Server> {
         self.limits.limited().filter_map(|(id, _)| self.registry.server(id))
     }
 
-    /// Servers of a service that name a limit, and for which it is worth asking for a token.
+    /// Returns the rate-limited servers of a service for which permits should be requested.
     pub fn permits_missing(&self, service: &str, now: Uptime) -> Vec<&Server> {
         let ready = self.registry.ready(service).iter();
         let is_missing = |id: &&String| {
@@ -349,59 +344,59 @@
         ready.filter(is_missing).filter_map(|id| self.registry.server(id)).collect()
     }
 
-    /// Tokens for a server were lent, good until then.
+    /// Adds granted permits for a server, which are valid until the given time.
     pub fn add_permits(&mut self, id: &str, count: u32, until: Uptime) {
         self.permits.add(id, count, until);
     }
 
-    /// None was lent, nor is any before that.
+    /// Records that no permit was granted for a server, and none will be before a time.
     pub fn deny_permits_before(&mut self, id: &str, before: Uptime) {
         self.permits.set_retry(id, before);
     }
 
-    /// Takes a token for a request that was chosen a server, where it names a limit.
+    /// Takes a permit for a request to a server; returns false if there is none or no limit.
     pub fn take_permit(&mut self, id: &str, now: Uptime) -> bool {
         self.limit(id).is_some() && self.permits.take(id, now)
     }
 
-    /// Whether a request may be sent to a server now, by what the server said itself; `lent`:
-    /// a token was taken for it. The server may have named its limit since it was chosen.
-    pub fn may_send(&mut self, id: &str, lent: bool, now: Uptime) -> bool {
+    /// Whether a request may be sent to a server now. The server may have stated a limit since
+    /// it was chosen; a permit is taken then, unless the request has one (`has_permit`).
+    pub fn may_send(&mut self, id: &str, has_permit: bool, now: Uptime) -> bool {
         match self.exclusion(id, now) {
             None => true,
-            Some(Exclusion::Limited(_)) => lent || self.permits.take(id, now),
+            Some(Exclusion::Limited(_)) => has_permit || self.permits.take(id, now),
             Some(Exclusion::Leaving | Exclusion::Backoff(_)) => false,
         }
     }
 
-    /// A server answered, whatever it said.
+    /// Records that a server sent any answer.
     pub fn record_reached(&mut self, id: &str) {
         if let Some(status) = self.statuses.get_mut(id) {
             status.connect_failures = 0;
         }
     }
 
-    /// No connection to a server opened, or another one has its address by now.
+    /// Records that no connection to a server could be opened, or that its address now belongs
+    /// to another server.
     pub fn record_unreachable(&mut self, id: &str, now: Uptime) {
         let status = self.statuses.entry(id.to_owned()).or_default();
         status.connect_failures = status.connect_failures.saturating_add(1);
-        status.connect_failed = now;
+        status.last_failure = now;
     }
 
-    /// What a server said last.
+    /// Returns the last load report of a server.
     pub fn last_report(&self, id: &str) -> Option<&LoadReport> {
         self.statuses.get(id)?.report.as_ref().map(|(_, report)| report)
     }
 
-    /// Requests of this gateway that are in flight.
+    /// Returns the number of requests of this gateway that are in flight.
     pub fn in_flight(&self) -> u32 {
         self.statuses.values().map(|status| status.in_flight).sum()
     }
 
-    /// Whether a life of a server can't be reached, as far as can be told: another has
-    /// begun, and what it ran is gone; its sidecar has fallen silent; or it was never heard
-    /// while most others of its service were. A group that stands still is no reason to
-    /// leave it: it goes on soon, and the others can't carry its requests on top of theirs.
+    /// Whether an incarnation of a server seems lost: a later one has begun, its sidecar is
+    /// silent, or the sidecar never reported while most others of the service did. A stalled
+    /// group is no reason to move requests: it resumes soon, and other groups lack the capacity.
     pub fn is_stuck(&self, id: &str, incarnation: u64, now: Uptime) -> bool {
         let Some(status) = self.statuses.get(id) else { return false };
         if status.is_superseded(incarnation) {
@@ -412,9 +407,9 @@
         status.is_silent(most_report, self.reports_until(status, now), now)
     }
 
-    /// Whether what a server sends to one of its requests does not come: its group has made
-    /// many passes since a moment at which it had made `pass`, and each of them brings a
-    /// request that runs there an event. One that does not run yet may wait there.
+    /// Whether a request's stream delivers nothing although the server works: its group has made
+    /// many passes since `pass`, each of which yields an event for every running request.
+    /// `runs`: the request is known to run rather than wait.
     pub fn is_stream_silent(&self, id: &str, pass: u64, runs: bool, now: Uptime) -> bool {
         let Some(status) = self.statuses.get(id).filter(|status| status.from_sidecar) else {
             return false;
@@ -425,18 +420,18 @@
         is_fresh && must_run && report.running > 0 && report.pass >= pass + SILENT_STREAM_PASSES
     }
 
-    /// Time until a server counts as stuck if nothing is heard of it meanwhile; none
-    /// if that can't be told.
+    /// Returns the time until a server counts as stuck without a further report; `None` if its
+    /// sidecar does not report or it is stuck already.
     pub fn time_to_stuck(&self, id: &str, now: Uptime) -> Option<Duration> {
         let at = self.statuses.get(id)?.silent_at()?;
         (at > now).then(|| at.since(now))
     }
 
-    /// Whether most of these servers have a sidecar that reports.
+    /// Whether the sidecars of most of these servers report.
     pub(super) fn most_report(&self, ids: &[String], now: Uptime) -> bool {
         let reports = |id: &&String| {
-            let report = self.statuses.get(*id).filter(|status| status.from_sidecar);
-            let report = report.and_then(|status| status.report.as_ref());
+            let status = self.statuses.get(*id).filter(|status| status.from_sidecar);
+            let report = status.and_then(|status| status.report.as_ref());
             report.is_some_and(|(at, _)| now.since(*at) < SILENT_AFTER)
         };
         ids.iter().filter(reports).count() * 2 > ids.len()
--- a/crates/mastweir-core/src/gateway/mod.rs
+++ b/crates/mastweir-core/src/gateway/mod.rs
@@ -1,14 +1,12 @@
-//! Forwarding of requests to servers: what a gateway decides.
+//! Decisions of a gateway that forwards requests to servers.
 //!
-//! A gateway passes requests through unchanged, so its decisions are few: which
-//! route a request takes ([`Config`]), whether its servers take it on ([`Stream`]), which
-//! of them gets it ([`Fleet`]), what the
-//! end of an attempt proves and what follows from it ([`Proof`], [`next_action`]), and
-//! whether the fleet can afford another attempt ([`RetryWindow`]). What servers ended under
-//! goes to no more of them ([`PoisonRequests`]). Streams are cut
-//! into whole events ([`EventSplitter`]), so that another server can take one up. What it
-//! hears of the platform's store is trusted only as far as the store is known to
-//! answer ([`Liveness`]).
+//! A gateway finds the route of a request ([`Config`]), decides whether the service admits a
+//! stream ([`StreamRequest`]), and chooses a server ([`Fleet`]). After an attempt it decides
+//! what the outcome proves and what to do next ([`Proof`], [`next_action`]), and whether a retry
+//! is within the budget ([`RetryWindow`]). Requests under which servers crashed are quarantined
+//! ([`PoisonRequests`]). Event streams are split into complete events ([`EventSplitter`]), so
+//! that another server can resume them. Data of the platform's store is used only while the
+//! store is known to answer ([`Liveness`]).
 
 mod admission;
 mod choice;
--- a/crates/mastweir-core/src/gateway/passes.rs
+++ b/crates/mastweir-core/src/gateway/passes.rs
@@ -1,16 +1,16 @@
-//! The pace of a rank group, from looks at one of its servers.
+//! Durations of a rank group's passes, measured in a sidecar from polls of its server.
 
 use crate::time::Uptime;
 use std::time::Duration;
 
-/// PassTimer of usual length without a new one after which a group stands still,
-/// and the least time for it: two looks at the server.
+/// A group counts as stalled after this many mean pass durations without a new pass, and at
+/// least after [`MIN_STALL`], which spans two polls.
 const STALL_PASSES: u32 = 4;
-const STALL_LEAST: Duration = Duration::from_millis(450);
-/// PassTimer over which their time is averaged.
+const MIN_STALL: Duration = Duration::from_millis(450);
+/// Weight of the last measurement in the moving average.
 const PASS_WEIGHT: f64 = 0.4;
 
-/// How long passes take.
+/// Measures the duration of passes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PassTimer {
     last: Option<(u64, Uptime)>,
@@ -18,8 +18,8 @@
 }
 
 impl PassTimer {
-    /// Takes in the last pass begun. An idle group begins none, so the time since
-    /// the last one counts only while something runs.
+    /// Records the number of the last pass begun. Idle groups begin none, so time counts only
+    /// while requests run.
     pub fn record(&mut self, pass: u64, running: u32, now: Uptime) {
         if running == 0 {
             self.last = Some((pass, now));
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Whether requests run but no pass has begun for far longer than usual.
+    /// Whether requests run but no pass has begun for several mean durations.
     pub fn is_stalled(&self, running: u32, now: Uptime) -> bool {
         let Some((_, since)) = self.last.filter(|_| running > 0) else { return false };
         let usual = Duration::from_secs_f64(self.mean_ms / 1_000.0) * STALL_PASSES;
-        now.since(since) > usual.max(STALL_LEAST)
+        now.since(since) > usual.max(MIN_STALL)
     }
 
-    /// Milliseconds that passes take, on average.
+    /// Returns the mean duration of a pass in milliseconds.
     pub const fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
--- a/crates/mastweir-core/src/gateway/registry.rs
+++ b/crates/mastweir-core/src/gateway/registry.rs
@@ -1,4 +1,10 @@
-//! Which servers there are: the list in force, and what it lacks but may live.
+//! The servers known to a gateway: the current list of the platform's store, and servers that
+//! are missing from it but may still run.
+//!
+//! Entries may go missing for a while when the store was unavailable, or was restored from an
+//! older copy; such servers are kept as expired until they reappear or a timeout passes.
+//! Conversely, an older copy may list servers that were removed; their entries are ignored
+//! until they are written again.
 
 use super::directory::{Directory, DirectoryChange, Server, ServerState};
 use crate::{revision::Revision, time::Uptime};
@@ -8,59 +14,58 @@
     time::Duration,
 };
 
-/// A missing server is kept this long as a last resort.
+/// Time for which a missing server is kept as a last resort.
 const MISSING_LASTS: Duration = Duration::from_millis(1_500);
-/// A server whose entry lapsed in an outage of the platform's list is used as before
-/// for this long: those that live are back within two seconds. Dropped at once, all
-/// requests meet the first few that are back: 55 of 160 in the two seconds behind an
-/// outage of 6.2 s were late, none with it.
+/// Time for which a server whose entry expired in an outage of the store is still used; running
+/// servers write their entries again within two seconds. Dropping all at once would overload
+/// the first ones that reappear.
 const EXPIRED_LASTS: Duration = Duration::from_millis(2_200);
 
-/// An entry of a server that is gone, back from an older copy of the list, goes within three
-/// of its heartbeats, which are 1.2 s apart, and some time on the way.
+/// Time for which an entry that reappeared from an older copy of the store is ignored. Without
+/// heartbeats, which are 1.2 s apart, the store drops it after three of them.
 const RETURNED_LASTS: Duration = Duration::from_secs(5);
 
-/// Servers that left and are remembered, for gateways that lack just what changed since.
+/// Removed servers that are remembered, to send peers changes instead of the complete list.
 const REMOVED_MAX: usize = 512;
 
-/// The servers that there are.
+/// The known servers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerRegistry {
     directory: Directory,
     by_service: HashMap<String, Vec<String>>,
-    /// The newest life at each address.
+    /// Newest server at each address.
     by_addr: HashMap<SocketAddr, String>,
-    /// Servers that left, with the revision of the list that lacked them first.
+    /// Removed servers, with the revision that removed them.
     removed: VecDeque<(Revision, String)>,
-    /// Revision since which all that left are remembered.
+    /// Revision since which all removed servers are remembered.
     removed_since: Revision,
-    /// Those that took requests and are listed no more, and since when.
+    /// Servers that took requests and are no longer listed, and since when.
     missing: HashMap<String, (Server, Uptime)>,
-    /// Until when servers that lapsed are used.
+    /// Until when expired servers are used.
     expired: HashMap<String, Uptime>,
-    /// Servers that had left and are in an older copy of the list as before, with the
-    /// revision of that entry and until when it tells nothing.
+    /// Removed servers that reappeared from an older copy of the store, with the revision of the
+    /// entry and until when it is ignored.
     returned: HashMap<String, (Revision, Uptime)>,
 }
 
 impl ServerRegistry {
-    /// The list in force, with those that lapsed.
+    /// Returns the current list, including expired servers.
     pub(super) const fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// A server that is there.
+    /// Returns a listed or expired server.
     pub(super) fn server(&self, id: &str) -> Option<&Server> {
         self.directory.servers.get(id)
     }
 
-    /// Ids of a service's servers that take requests.
+    /// Returns the ids of a service's servers that take requests.
     pub(super) fn ready(&self, service: &str) -> &[String] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes a newer list in; false if it is not newer. Right behind an outage what it
-    /// lacks may have lapsed, and is kept for now.
+    /// Replaces the list; returns false if it is not newer. After an outage, missing servers may
+    /// have expired and are kept for a while.
     pub(super) fn replace(
         &mut self,
         directory: Directory,
@@ -75,7 +80,7 @@
         if is_copy {
             self.note_returned(&directory, now);
         }
-        // What an older copy lacks may have been written behind it, and is written again.
+        // Entries missing from an older copy may be newer than the copy and be written again.
         let may_reappear = after_outage || is_copy;
         let old = std::mem::replace(&mut self.directory, directory);
         self.note_removed(&old);
@@ -94,12 +99,12 @@
         true
     }
 
-    /// The newest life at an address.
+    /// Returns the id of the newest server at an address.
     pub(super) fn at(&self, addr: SocketAddr) -> Option<&str> {
         self.by_addr.get(&addr).map(String::as_str)
     }
 
-    /// What changed since a revision.
+    /// Returns the changes since a revision.
     pub(super) fn changes_since(&self, revision: Revision) -> DirectoryChange {
         let Directory { servers, expired, revision: now } = &self.directory;
         let is_complete = revision < self.removed_since || !revision.is_some();
@@ -115,8 +120,8 @@
         }
     }
 
-    /// An older copy of the list names servers that had left or were gone: their entries tell
-    /// nothing until they are written again, or have outlived what would end them.
+    /// Notes servers that an older copy of the store lists although they had left. Their entries
+    /// are ignored until they are written again or outlive the expiry of their heartbeats.
     fn note_returned(&mut self, directory: &Directory, now: Uptime) {
         let until = now + RETURNED_LASTS;
         let was_removed = |id: &String| match self.directory.servers.get(id) {
@@ -128,20 +133,20 @@
             returned.map(|server| (server.id.clone(), (server.changed, until))).collect();
     }
 
-    /// Whether a server's entry is that of an older copy, from before it left.
+    /// Whether a server's entry comes from an older copy of the store, from before it left.
     fn has_returned(&self, id: &str, now: Uptime) -> bool {
         self.returned.get(id).is_some_and(|(changed, until)| {
             *until > now && self.server(id).is_some_and(|server| server.changed <= *changed)
         })
     }
 
-    /// The list in force was read as a whole: a server that came and went since the one
-    /// before was never seen, so that nothing tells who else still has it.
+    /// Forgets removed servers after a full read of the list. Servers that were added and removed
+    /// between two reads are unknown here, so changes since earlier revisions are incomplete.
     pub(super) fn forget_removals(&mut self) {
         self.removed_since = self.directory.revision;
     }
 
-    /// Servers went, whether or not they were ever in the list here.
+    /// Records removed servers, whether or not they were in the list.
     pub(super) fn record_removed(&mut self, ids: &[String], revision: Revision) {
         let is_known = |id: &&String| self.removed.contains(&(revision, (*id).clone()));
         let unseen: Vec<String> = ids.iter().filter(|id| !is_known(id)).cloned().collect();
@@ -159,27 +164,27 @@
         let Directory { revision, servers, .. } = &self.directory;
         let revision = *revision;
         let removed = old.servers.keys().filter(|id| !servers.contains_key(*id)).cloned().collect();
-        // Of another generation's list nothing tells what has changed since.
+        // Changes since a list of another generation are unknown.
         if old.revision.generation < revision.generation || !old.revision.is_some() {
             self.removed_since = revision;
         }
         self.remember_removed(removed, revision);
     }
 
-    /// A server that the list lost a moment ago: better than none.
+    /// Returns a server that went missing a moment ago, for when no other is left.
     pub(super) fn last_resort(
         &self,
         service: &str,
         may_serve: impl Fn(&str) -> bool,
         now: Uptime,
     ) -> Option<&Server> {
-        let fits = |(server, since): &&(Server, Uptime)| {
+        let is_match = |(server, since): &&(Server, Uptime)| {
             server.service == service && may_serve(&server.id) && now.since(*since) < MISSING_LASTS
         };
-        self.missing.values().find(fits).map(|(server, _)| server)
+        self.missing.values().find(is_match).map(|(server, _)| server)
     }
 
-    /// Drops servers that lapsed and did not come back; gives their ids.
+    /// Drops expired servers that did not reappear in time and returns their ids.
     pub(super) fn drop_expired(&mut self, now: Uptime) -> Vec<String> {
         let is_expired = |id: &&String| self.has_expired(id, now);
         let removed: Vec<String> =
@@ -196,18 +201,18 @@
         removed
     }
 
-    /// Whether a server's entry, or the time since it lapsed, still says that it serves.
+    /// Whether a server is to be used: neither expired for too long nor from an older copy.
     pub(super) fn is_current(&self, id: &str, now: Uptime) -> bool {
         !self.has_expired(id, now) && !self.has_returned(id, now)
     }
 
-    /// Whether a server lapsed so long ago that it is gone.
+    /// Whether an expired server has passed the time for which it is kept.
     fn has_expired(&self, id: &str, now: Uptime) -> bool {
         self.expired.get(id).is_some_and(|until| *until <= now)
     }
 
-    /// A server that took requests is no longer listed; `lapses` if that may be for
-    /// the moment.
+    /// Notes that a server that took requests is no longer listed. `expires`: until when it is
+    /// kept, if it may reappear.
     fn note_unlisted(&mut self, id: String, server: Server, expires: Option<Uptime>, now: Uptime) {
         let until = expires.or_else(|| self.expired.get(&id).copied());
         match until.filter(|until| *until > now) {
@@ -224,8 +229,8 @@
 
     fn index(&mut self) {
         self.by_service.clear();
-        // The entries of lives that ended without a word stay for a while, and
-        // another life may have their address by then.
+        // Entries of crashed servers stay for a while, and another server may have the address
+        // by then.
         let mut newest: HashMap<SocketAddr, Revision> = HashMap::new();
         for server in self.directory.servers.values() {
             let at = newest.entry(server.addr).or_default();
--- a/crates/mastweir-core/src/gateway/retry_detector.rs
+++ b/crates/mastweir-core/src/gateway/retry_detector.rs
@@ -1,36 +1,34 @@
-//! How long callers of a route wait, and so who of them was refused before.
+//! Detection of retries by the timeouts that callers state, in a gateway.
 //!
-//! A caller names the time that it still has, and one that comes back has less than it came
-//! with. What callers come with is theirs to choose: a route's own limit may be longer, and
-//! change. So it is the longest time that was seen on the route of late.
+//! A caller states the time that it still has, and a retry has less than the first attempt
+//! had. First attempts use a timeout of the caller's choice, so it is estimated per route as
+//! the longest one seen recently.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Part of the longest time that a first attempt has at least.
-const WHOLE: f64 = 0.95;
-/// What is left of the longest time with each request: where callers come to have less, fifty
-/// of them are taken for returned before that is noticed.
-const KEPT: f64 = 0.999;
-/// Routes that are remembered; beyond it all are forgotten, and learned anew.
+/// Timeouts below this fraction of the longest one belong to retries.
+const FIRST_FRACTION: f64 = 0.95;
+/// Decay of the longest timeout per request, so that it follows shorter timeouts.
+const DECAY: f64 = 0.999;
+/// Routes that are kept; beyond that, all are cleared and learned again.
 const ROUTES_MAX: usize = 16_384;
 
-/// The longest times of each route's callers.
+/// Longest recent timeout of each route, in seconds.
 #[derive(Clone, Debug, Default)]
 pub struct RetryDetector(HashMap<String, f64>);
 
 impl RetryDetector {
-    /// Takes in how long a caller of a route waits; whether it was refused before, as far as
-    /// that shows.
-    pub fn is_retry(&mut self, route: &str, wait: Duration) -> bool {
-        let wait = wait.as_secs_f64();
+    /// Records the timeout of a request and returns whether the request looks like a retry.
+    pub fn is_retry(&mut self, route: &str, timeout: Duration) -> bool {
+        let timeout = timeout.as_secs_f64();
         if self.0.len() >= ROUTES_MAX && !self.0.contains_key(route) {
             self.0.clear();
         }
         let Some(longest) = self.0.get_mut(route) else {
-            self.0.insert(route.to_owned(), wait);
+            self.0.insert(route.to_owned(), timeout);
             return false;
         };
-        *longest = (*longest * KEPT).max(wait);
-        wait < *longest * WHOLE
+        *longest = (*longest * DECAY).max(timeout);
+        timeout < *longest * FIRST_FRACTION
     }
 }
--- a/crates/mastweir-core/src/gateway/score.rs
+++ b/crates/mastweir-core/src/gateway/score.rs
@@ -1,35 +1,32 @@
-//! How well a server would serve a request: what a choice compares.
+//! Score of a server for a request. The choice of a server in the gateway compares scores.
 
-/// What a pass counts beside load, for each part by which it is longer than streams
-/// may pause: passes grow with the load, so the next requests go elsewhere before all
-/// that are there come late.
+/// Weight of the relative excess of a pass over the desired gap between events. Passes grow
+/// with the load, so new requests move elsewhere before all running ones miss the objective.
 const EXCESS_WEIGHT: f64 = 4.0;
-/// Load of a server whose group stands still, over that of one whose group runs.
+/// Penalty for a server whose group is stalled.
 const STALLED_PENALTY: f64 = 100.0;
 
-/// How well a server would serve a request.
+/// How well a server suits a request; lower is better.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Score {
-    /// Requests over its slots, as many times as it takes longer than usual for them.
+    /// Occupancy multiplied by the server's slowdown.
     pub(super) load: f64,
-    /// Requests over its slots.
+    /// Requests as a fraction of the server's slots.
     pub(super) occupancy: f64,
-    /// Time of a pass over what is in time, less one.
+    /// Relative excess of a pass over the desired gap between events.
     pub(super) excess: f64,
-    /// Milliseconds of a pass.
     pub(super) pass_ms: f64,
-    /// Whether its group stands still.
     pub(super) is_stalled: bool,
 }
 
 impl Score {
-    /// The lower the better.
+    /// Returns the combined score; lower is better.
     pub(super) fn total(self) -> f64 {
-        let standing = if self.is_stalled { STALLED_PENALTY } else { 0.0 };
-        self.load + self.excess * EXCESS_WEIGHT + standing
+        let penalty = if self.is_stalled { STALLED_PENALTY } else { 0.0 };
+        self.load + self.excess * EXCESS_WEIGHT + penalty
     }
 
-    /// Whether it has room for another request.
+    /// Whether the server can take another request at up to `max_load`.
     pub(super) fn has_room(self, max_load: f64) -> bool {
         !self.is_stalled && self.load <= max_load
     }
--- a/crates/mastweir-core/src/gateway/status.rs
+++ b/crates/mastweir-core/src/gateway/status.rs
@@ -1,95 +1,89 @@
-//! What a gateway knows of one server beside the list: what it sees itself, and what the
-//! server's sidecar reports.
+//! Status of one server in a gateway, besides its entry in the list: the load reports of its
+//! sidecar, and what the gateway observes of its own requests and connections.
 
 use super::rate_limits::Rate;
 use crate::time::Uptime;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A server whose sidecar from_sidecar, and has been silent for this long, is taken for
-/// one that can't be reached; three reports are missing by then.
+/// Silence of a sidecar after which its server counts as unreachable: three missing reports.
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(700);
-/// A report older than this is not used; four of them are missing by then.
+/// Greatest age of a report that is used: four missing reports.
 pub(super) const REPORT_LASTS: Duration = Duration::from_millis(1_000);
-/// Until then its silence counts; later its sidecar may just not be there.
+/// Silence of a sidecar after which the server is assumed to have none.
 const SILENT_UNTIL: Duration = Duration::from_secs(10);
-/// The same for a server that never from_sidecar here while most others of its service
-/// do: a gateway that has just started can't tell whether it ever did. The users'
-/// instances stand still for four seconds and more.
+/// The same for a sidecar that never reported to this gateway while most others of the service
+/// do. A gateway that has just started can't tell whether it ever did.
 const UNREPORTED_UNTIL: Duration = Duration::from_secs(4);
-/// Time for which it is left out, and for which the first connection that did not
-/// open counts; each further one doubles it.
+/// Time for which a server is avoided after repeated failures or a failed connection; each
+/// further failed connection doubles it.
 const BACKOFF: Duration = Duration::from_millis(1_000);
-/// The longest: a hall that was cut off is back in use soon after.
+/// Longest backoff, so that a hall is used again soon after a network partition.
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
 
-/// Times that are kept: more requests than a server has places, since a report of it.
+/// Kept times of requests since the last report; more than a server has slots.
 const TIMES_MAX: usize = 64;
 
-/// What a server's sidecar reports.
+/// A sidecar's report on its server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that run.
     pub running: u32,
-    /// Requests that wait.
     pub waiting: u32,
-    /// Tokens in its memory that can't give way, in thousandths of its room.
+    /// Cached model tokens that can't be evicted, in thousandths of the memory's capacity.
     pub memory_milli: u32,
-    /// Rank group that it belongs to, if any.
+    /// Rank group of the server, if any.
     pub group: Option<String>,
-    /// Whether that group makes passes.
+    /// Whether the group makes passes.
     pub group_open: bool,
-    /// The last pass begun.
+    /// Number of the last pass begun.
     pub pass: u64,
-    /// Milliseconds that the last passes took, on average.
+    /// Mean duration of recent passes, in milliseconds.
     pub pass_ms: u32,
-    /// Time that it takes for the same work over what is usual, in thousandths; zero
-    /// if that is not known.
-    pub pace_milli: u32,
-    /// Life of the server that it saw; zero if that does not say.
+    /// Time per work relative to the usual, in thousandths; zero if unknown.
+    pub slowdown_milli: u32,
+    /// Incarnation of the server; zero if it does not state one.
     pub incarnation: u64,
-    /// Whether the server says that it leaves.
+    /// Whether the server is leaving.
     pub leaving: bool,
-    /// The limit that it names, if it does.
+    /// Rate limit that the server states, if any.
     pub limit: Option<Rate>,
 }
 
-/// A server, as this gateway sees it.
+/// Status of a server as seen by this gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerStatus {
-    /// Its life, and the one before, as far as the list or its sidecar named them. They
-    /// are no times here: two of them are the same life, or not.
+    /// Current and previous incarnation; zero if unknown. They are compared only for equality.
     pub(super) incarnation: u64,
     pub(super) previous: u64,
-    /// When the list first named it here.
+    /// When the server first appeared in the list.
     pub(super) listed_at: Option<Uptime>,
-    /// Requests of this gateway there.
+    /// Requests of this gateway at the server.
     pub(super) in_flight: u32,
-    /// When requests were sent there that the last report can't have counted.
+    /// When requests were sent that the last report can't include.
     pub(super) sent: Vec<Uptime>,
-    /// When requests ended there that it still counted.
+    /// When requests ended that the last report still includes.
     pub(super) ended: Vec<Uptime>,
-    /// What it said last, and when.
+    /// Last report, and when it was made.
     pub(super) report: Option<(Uptime, LoadReport)>,
-    /// When another gateway, or its sidecar, last told of it.
-    pub(super) last_mention: Uptime,
-    /// Whether that came from a sidecar, which goes on reporting.
+    /// When a report was last received, from the sidecar or forwarded.
+    pub(super) last_received: Uptime,
+    /// Whether the last report came from a sidecar rather than from an answer.
     pub(super) from_sidecar: bool,
-    /// Whether its sidecar's reports have named a limit: then one that names none tells that
-    /// it has ended.
+    /// Whether the sidecar has ever reported a limit; then a report without one means that the
+    /// limit has ended.
     pub(super) reports_limit: bool,
-    /// Requests in a row that got no whole answer.
+    /// Consecutive requests without a complete answer.
     pub(super) failures: u32,
-    /// When it was left out for that.
+    /// When the server was last found failing.
     pub(super) failing_since: Option<Uptime>,
-    /// Connections in a row that did not open, and when the last one did not.
+    /// Consecutive failures to open a connection, and the time of the last one.
     pub(super) connect_failures: u32,
-    pub(super) connect_failed: Uptime,
+    pub(super) last_failure: Uptime,
 }
 
 impl ServerStatus {
-    /// The list, or a report, names the server's life. Behind a start all that was known
-    /// of the life before is gone with it. False for what tells of that one, late.
+    /// Sets the incarnation that the list or a report states; a new one resets the status.
+    /// Returns false for a late report of the previous incarnation.
     pub(super) fn set_incarnation(&mut self, incarnation: u64) -> bool {
         if incarnation == 0 || incarnation == self.incarnation {
             return true;
@@ -110,14 +104,14 @@
         true
     }
 
-    /// Whether a life is over: another has begun since.
+    /// Whether another incarnation than the given one is current.
     pub(super) const fn is_superseded(&self, incarnation: u64) -> bool {
         incarnation != 0 && incarnation != self.incarnation
     }
 
-    /// Takes in what its sidecar said at a time, unless something newer is known.
+    /// Records a sidecar's report made at a time, unless a newer one is known.
     pub(super) fn set_report(&mut self, report: LoadReport, at: Uptime, now: Uptime) {
-        self.last_mention = now;
+        self.last_received = now;
         let older = |(known, _): &(Uptime, LoadReport)| self.from_sidecar && *known > at;
         if self.report.as_ref().is_some_and(older) {
             return;
@@ -136,14 +130,14 @@
         note(&mut self.ended, now);
     }
 
-    /// Forgets what was sent and what ended before the last report: it counted that.
+    /// Discards times of requests sent and ended before a report, which includes them.
     pub(super) fn discard_before(&mut self, at: Uptime) {
         self.sent.retain(|sent| *sent > at);
         self.ended.retain(|ended| *ended > at);
     }
 
-    /// Whether its sidecar fell silent, as far as was heard `until` then, or, where
-    /// sidecars are `usual`, was never heard.
+    /// Whether the sidecar is silent, counting up to `until`, or has never reported although
+    /// most other sidecars do (`most_report`).
     pub(super) fn is_silent(&self, most_report: bool, until: Uptime, now: Uptime) -> bool {
         match (&self.report, self.listed_at) {
             (Some((at, _)), _) if self.from_sidecar => {
@@ -156,19 +150,19 @@
         }
     }
 
-    /// Whether requests there failed lately.
+    /// Whether requests have failed repeatedly and recently.
     pub(super) fn is_failing(&self, now: Uptime) -> bool {
         self.failing_since.is_some_and(|since| now.since(since) < BACKOFF)
     }
 
-    /// Whether connections to it did not open lately.
+    /// Whether opening a connection failed recently.
     pub(super) fn is_unconnectable(&self, now: Uptime) -> bool {
         let Some(doubled) = self.connect_failures.checked_sub(1) else { return false };
         let lasts = BACKOFF * 2_u32.pow(doubled.min(8));
-        now.since(self.connect_failed) < lasts.min(BACKOFF_MAX)
+        now.since(self.last_failure) < lasts.min(BACKOFF_MAX)
     }
 
-    /// When it will count as silent unless it is heard before.
+    /// Returns when the server will count as silent without a further report.
     pub(super) fn silent_at(&self) -> Option<Uptime> {
         let (at, _) = self.report.as_ref().filter(|_| self.from_sidecar)?;
         Some(*at + SILENT_AFTER)
--- a/crates/mastweir-core/src/revision.rs
+++ b/crates/mastweir-core/src/revision.rs
@@ -1,31 +1,29 @@
-//! A moment of the platform's store.
+//! A revision of the platform's store.
 //!
-//! The store counts its changes, and may come back from an older copy: what was written
-//! since is gone, and the numbers of its revisions are given out again. Each time that
-//! happens its era rises. So a number alone tells no order; two revisions are compared by
-//! their eras first.
+//! The store numbers its changes. When it is restored from an older copy, later changes are
+//! lost and their numbers are used again; each restore raises the store's generation.
+//! Revisions are therefore ordered by generation first, then by number.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A revision of the store; the first one there is none before is the default.
+/// A revision of the store. The default precedes all others and means that none is known.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the store came back from a copy; zero of a store that does not say.
+    /// Number of restores of the store; zero if the store does not state it.
     pub generation: u64,
-    /// Its changes, as it counts them.
+    /// Number of the change.
     pub number: u64,
 }
 
 impl Revision {
-    /// A revision of an era.
     pub const fn new(generation: u64, number: u64) -> Self {
         Self { generation, number }
     }
 
-    /// Whether anything was ever heard of the store.
+    /// Whether a revision of the store is known.
     pub const fn is_some(self) -> bool {
         self.generation > 0 || self.number > 0
     }
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -101,7 +101,7 @@
         group_open: rank.is_none_or(|rank| rank.open && !stalled),
         pass: rank.map_or(0, |rank| rank.pass),
         pass_ms: passes.mean_ms() as u32,
-        pace_milli: state.pace_milli,
+        slowdown_milli: state.pace_milli,
         incarnation: state.born,
         leaving: state.leaving,
         limit: state.limit.rate(),
--- a/tests/testsuite/fleet.rs
+++ b/tests/testsuite/fleet.rs
@@ -255,7 +255,7 @@
     fleet.record_report("a", LoadReport { pass_ms: 300, ..told(11) }, now);
     expect_that!(choose(&fleet, now), err(eq(&Refusal::Full)));
     // All in a group wait for its slow server, so that gets little.
-    fleet.record_report("a", LoadReport { pace_milli: 4_000, ..told(2) }, now);
+    fleet.record_report("a", LoadReport { slowdown_milli: 4_000, ..told(2) }, now);
     fleet.record_report("b", told(7), now);
     expect_that!(choose(&fleet, now), ok(eq("b")));
 }
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -111,7 +111,7 @@
         group_open: true,
         pass: 40_000_000,
         pass_ms: 300,
-        pace_milli: 20_000,
+        slowdown_milli: 20_000,
         incarnation: 1_790_000_000_000,
         leaving: true,
         limit: Rate::per_second(1e9),
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -230,7 +230,7 @@
                 group: Some("g".to_owned()),
                 group_open: true,
                 pass_ms: self.pass_ms as u32,
-                pace_milli: (self.pace(server, ms) * 1_000.0) as u32,
+                slowdown_milli: (self.pace(server, ms) * 1_000.0) as u32,
                 ..LoadReport::default()
             };
             let told = |fleet: &mut Fleet| {
