--- a/tests/testsuite/fuzz_eras.rs
+++ b/tests/testsuite/fuzz_generations.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from older copies, at any moment: no token is given out twice,
-//! and all gateways end with the store's list.
+//! Fuzz tests of restoring the store from older copies at any moment: no fencing token is issued
+//! twice, and all gateways converge on the store's list.
 
 use super::fleet::{listed_in, server};
 use eyre::Result;
@@ -26,7 +26,7 @@
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 use tokio::task::LocalSet;
 
-/// A sidecar between the read and the write by which it takes its group's lease.
+/// A sidecar that reads a group's lease and later tries to take it.
 struct Candidate {
     store: Store,
     election: Election,
@@ -46,22 +46,22 @@
         match self.store.take_lease("g0", token, name, &read).await {
             Ok(()) => Ok(Some(token)),
             Err(StoreError::Conflict | StoreError::EraChanged) => Ok(None),
-            // The object of an era that was lost is not there any more.
+            // The lease object of a lost generation no longer exists.
             Err(StoreError::Refused { status: 404 }) => Ok(None),
             Err(error) => Err(error.into()),
         }
     }
 }
 
-/// Each candidate reads and writes when it likes; the store comes back from copies between.
-/// None has heard another's polls, so the store alone tells which tokens were given out.
+/// Candidates read and write in random order between restores of the store. They don't see each
+/// other's polls, so tokens stay unique by the store alone.
 #[googletest::test]
 #[tokio::test]
-async fn no_token_is_given_out_twice() -> Result<()> {
+async fn no_fencing_token_is_issued_twice() -> Result<()> {
     const STEPS: usize = 150;
     let local = LocalSet::new();
     let fuzzed = local.run_until(async {
-        let (mut taken_in_all, mut eras) = (0, 0);
+        let (mut taken_in_all, mut restores) = (0, 0);
         for seed in 0..12 {
             let mut rng = SmallRng::seed_from_u64(seed);
             let platform = Platform::new();
@@ -83,21 +83,21 @@
             unique.sort_unstable();
             unique.dedup();
             expect_that!(unique.len(), eq(taken.len()), "seed {seed}: {taken:?}");
-            (taken_in_all, eras) = (taken_in_all + taken.len(), eras + platform.era());
+            (taken_in_all, restores) = (taken_in_all + taken.len(), restores + platform.era());
             served.shutdown.notify();
         }
-        // The runs show something only if both came often.
+        // The test is meaningful only with many taken leases and restores.
         expect_that!(taken_in_all, gt(200));
-        expect_that!(eras, gt(40));
+        expect_that!(restores, gt(40));
         Ok::<(), eyre::Report>(())
     });
     fuzzed.await
 }
 
-/// Whoever takes a group's lease first in an era clears what the eras before left of it.
+/// The first holder of a group's lease in a generation removes lease objects of earlier ones.
 #[googletest::test]
 #[tokio::test]
-async fn leases_of_lost_eras_are_cleared() -> Result<()> {
+async fn leases_of_lost_generations_are_removed() -> Result<()> {
     LocalSet::new()
         .run_until(async {
             let platform = Platform::new();
@@ -121,18 +121,18 @@
         .await
 }
 
-/// What happens in a run of the list of servers.
+/// Event of a run.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A server of that number is written with that state, or goes.
+    /// A server's entry is written as ready or leaving, or is removed.
     Write(u8, Option<bool>),
     Copy,
-    /// The store comes back from its last copy.
+    /// The store is restored from its last copy.
     Restore,
-    /// A speaker lists the store; the other may be turned away.
+    /// A relay gateway lists the store.
     List(usize),
-    /// A speaker's word of how far it is reaches a follower, which fetches what is newer. The
-    /// answer may be late: another moment's.
+    /// A gateway learns the revision of another and fetches newer changes; a late answer arrives
+    /// only with the next late fetch.
     Fetch {
         from: usize,
         to: usize,
@@ -154,7 +154,7 @@
 /// The store's list and its copies.
 #[derive(Clone, Default)]
 struct Listing {
-    era: u64,
+    generation: u64,
     number: u64,
     servers: BTreeMap<u8, (u64, bool)>,
 }
@@ -165,18 +165,18 @@
             let state = if *ready { ServerState::Ready } else { ServerState::Leaving };
             let (name, mut one) = server(&format!("i-{id}"), state);
             one.addr.set_port(u16::from(*id) + 1);
-            one.changed = Revision::new(self.era, *changed);
+            one.changed = Revision::new(self.generation, *changed);
             (name, one)
         };
-        listed_in(self.era, self.number, self.servers.iter().map(one).collect())
+        listed_in(self.generation, self.number, self.servers.iter().map(one).collect())
     }
 }
 
-/// Two speakers that list the store, and three gateways that follow them.
+/// Two relay gateways that list the store, and three followers.
 struct Gateways {
     fleets: Vec<Fleet>,
     lags: Vec<Lag>,
-    /// Answers that are still on their way, by whom they are for.
+    /// Delayed answers by receiving gateway.
     late: Vec<Option<DirectoryChange>>,
     now: Uptime,
 }
@@ -210,20 +210,21 @@
         }
     }
 
-    /// An answer is used as it was asked for: upon what was known then.
+    /// Applies an answer to the current list of a gateway.
     fn take(&mut self, to: usize, change: DirectoryChange) {
-        let (whole, gone, revision) = (change.is_complete, change.removed.clone(), change.revision);
+        let (is_complete, removed, revision) =
+            (change.is_complete, change.removed.clone(), change.revision);
         let next = self.fleets[to].directory().changed(change);
-        match (self.fleets[to].replace(next, false, self.now), whole) {
+        match (self.fleets[to].replace(next, false, self.now), is_complete) {
             (true, true) => self.fleets[to].forget_removals(),
-            (true, false) => self.fleets[to].record_removed(&gone, revision),
+            (true, false) => self.fleets[to].record_removed(&removed, revision),
             (false, _) => (),
         }
     }
 
-    fn list(&mut self, speaker: usize, listing: &Listing) {
-        if self.fleets[speaker].replace(listing.directory(), false, self.now) {
-            self.fleets[speaker].forget_removals();
+    fn list(&mut self, relay: usize, listing: &Listing) {
+        if self.fleets[relay].replace(listing.directory(), false, self.now) {
+            self.fleets[relay].forget_removals();
         }
     }
 }
@@ -243,7 +244,7 @@
     tried
 }
 
-fn ends_with_the_stores_list(events: &[Event]) -> std::result::Result<(), TestCaseError> {
+fn converge_on_the_list(events: &[Event]) -> std::result::Result<(), TestCaseError> {
     let mut listing = Listing::default();
     let mut copy = Listing::default();
     let mut all = Gateways::new();
@@ -258,28 +259,30 @@
                 }
             }
             Event::Copy => copy = listing.clone(),
-            Event::Restore => listing = Listing { era: listing.era + 1, ..copy.clone() },
-            Event::List(speaker) => all.list(*speaker, &listing),
+            Event::Restore => {
+                listing = Listing { generation: listing.generation + 1, ..copy.clone() }
+            }
+            Event::List(relay) => all.list(*relay, &listing),
             Event::Fetch { from, to, late } => all.fetch(*from, *to, *late),
         }
         for fleet in &all.fleets {
-            prop_assert!(fleet.directory().revision <= Revision::new(listing.era, u64::MAX));
+            prop_assert!(fleet.directory().revision <= Revision::new(listing.generation, u64::MAX));
         }
     }
-    // All servers write themselves once more, and everybody hears of it in the end.
+    // All servers write their entries again, and all gateways receive them.
     listing.number += 1;
     for server in listing.servers.values_mut() {
         server.0 = listing.number;
     }
     all.now = all.now + Duration::from_secs(1);
-    (0..2).for_each(|speaker| all.list(speaker, &listing));
+    (0..2).for_each(|relay| all.list(relay, &listing));
     all.late.fill(None);
     for to in 2..5 {
         all.now = all.now + Duration::from_millis(500);
         all.fetch(to % 2, to, false);
         all.fetch(to % 2, to, false);
     }
-    // What lapsed or was a last resort is over by then.
+    // Expired servers and last resorts have timed out by then.
     all.now = all.now + Duration::from_secs(6);
     let ready: Vec<String> = listing
         .servers
@@ -295,12 +298,12 @@
 }
 
 #[test]
-fn all_gateways_end_with_the_stores_list() {
+fn all_gateways_converge_on_the_stores_list() {
     let config = Cases { cases: 2_000, failure_persistence: None, ..Cases::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let events = prop::collection::vec(event(), 1..40);
-    let result = TestRunner::new_with_rng(config, rng)
-        .run(&events, |events| ends_with_the_stores_list(&events));
+    let result =
+        TestRunner::new_with_rng(config, rng).run(&events, |events| converge_on_the_list(&events));
     if let Err(error) = result {
         panic!("{error}");
     }
--- a/tests/testsuite/gateway_core.rs
+++ b/tests/testsuite/gateway_core.rs
@@ -1,4 +1,4 @@
-//! The gateway's decisions by themselves: routes, events, retries, peers.
+//! Unit tests of single decisions of the gateway: routes, events, retries, stream timing.
 
 use googletest::prelude::*;
 use mastweir_core::{
@@ -52,9 +52,9 @@
     expect_that!(index.find("c", "/x/"), none());
 }
 
-/// However a stream is cut into pieces, what passes is whole events, in order.
+/// Complete events are returned in order, however the stream is cut into pieces.
 #[test]
-fn events_pass_whole_however_they_are_cut() {
+fn events_stay_complete_however_the_stream_is_cut() {
     let config = Cases { cases: 300, failure_persistence: None, ..Cases::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let text = "id: 1\ndata: a\n\nid: 22\r\ndata: b\r\n\r\nid: 3\ndata: c\n\ndata: half";
@@ -86,7 +86,7 @@
 }
 
 #[googletest::test]
-fn a_call_that_may_run_once_is_tried_again_only_on_proof() {
+fn a_request_that_may_run_once_is_retried_only_on_proof() {
     let step = |repeatable, attempts_left| AttemptState {
         repeatable,
         may_have_run: false,
@@ -106,7 +106,7 @@
     expect_that!(next_action(step(false, 1), AttemptResult::Broken), eq(NextAction::EndUnknown));
     expect_that!(next_action(step(false, 1), AttemptResult::Failed), eq(NextAction::Forward));
     expect_that!(next_action(step(true, 1), AttemptResult::Broken), eq(NextAction::Retry));
-    // Refused after it may have run: nobody may say that it has not.
+    // A refusal does not prove that an earlier attempt has not run.
     let after = AttemptState { may_have_run: true, ..step(false, 0) };
     expect_that!(
         next_action(after, AttemptResult::NotRun(Proof::Refused)),
@@ -117,8 +117,8 @@
 }
 
 #[googletest::test]
-fn retries_stay_within_their_part_in_every_window() {
-    // This gateway's part of the extra, 70 among seven, is 10.
+fn retries_stay_within_the_budget_in_every_window() {
+    // This gateway's share of the extra budget, 70 among seven gateways, is 10.
     let mut window = RetryWindow::new(Duration::from_secs(10), 0.2, 70.0);
     let mut taken = Vec::new();
     for ms in (0..60_000).step_by(10) {
@@ -130,27 +130,27 @@
             taken.push(ms);
         }
     }
-    // 100 requests a window allow 20, and 10 are shared; a part is kept back.
+    // 100 requests per window allow 20, plus the share of 10; a part is kept in reserve.
     let most = taken
         .iter()
         .map(|from| taken.iter().filter(|at| (*from..*from + 10_000).contains(*at)).count());
     expect_that!(most.max().unwrap_or(0), all!(ge(20), le(30)));
 }
 
-/// Thirty gateways that all lose power and start again, with many requests to send
-/// again at once: what their lives before have spent counts in the same window.
+/// Guards against exceeding the retry budget when all gateways restart at once: retries before
+/// and after the restart count in the same window.
 #[googletest::test]
-fn retries_stay_within_their_part_when_all_gateways_start_again() {
+fn retries_stay_within_the_budget_when_all_gateways_restart() {
     const GATEWAYS: usize = 30;
     const EXTRA: f64 = 186.0;
     let (mut requests, mut retries) = (0, 0);
-    for life_ms in [40_000, 5_000] {
+    for run_ms in [40_000, 5_000] {
         let mut windows = vec![RetryWindow::new(Duration::from_secs(10), 0.2, EXTRA); GATEWAYS];
-        for ms in (0..life_ms).step_by(100) {
+        for ms in (0..run_ms).step_by(100) {
             let now = Uptime::from_millis(ms);
-            // The others are found in the first seconds.
+            // The other gateways are discovered within the first seconds.
             let others = if ms < 2_000 { 0 } else { GATEWAYS - 1 };
-            let counts = life_ms - ms <= 5_000;
+            let counts = run_ms - ms <= 5_000;
             for window in &mut windows {
                 window.record_request(now);
                 requests += usize::from(counts);
@@ -162,9 +162,9 @@
     expect_that!(retries as f64, le(0.2 * requests as f64 + EXTRA));
 }
 
-/// An idle group makes no passes; the first request after a pause is no stall.
+/// An idle group makes no passes, so the first request after idle time is no stall.
 #[googletest::test]
-fn a_group_stalls_only_while_something_runs() {
+fn a_group_stalls_only_while_requests_run() {
     let mut passes = PassTimer::default();
     let ms = Uptime::from_millis;
     passes.record(7, 0, ms(1_000));
@@ -181,11 +181,11 @@
 }
 
 #[googletest::test]
-fn a_stream_is_told_by_its_first_event_and_its_longest_pause() {
+fn a_stream_is_timed_by_its_first_event_and_longest_gap() {
     let at = |ms: u64| Uptime::from_secs(5) + Duration::from_millis(ms);
     let mut pauses = StreamTiming::new(at(0), Duration::from_millis(40));
     expect_that!(pauses.time_to_first(), none());
-    // The wait for the first event is no pause.
+    // The wait for the first event is no gap.
     expect_that!(pauses.record_event(at(300)), eq(false));
     let longest: Vec<bool> = [360, 480, 500].map(|ms| pauses.record_event(at(ms))).to_vec();
     expect_that!(longest, elements_are![eq(&true), eq(&true), eq(&false)]);
@@ -194,7 +194,6 @@
     expect_that!(pauses.longest_gap_end(), eq(Duration::from_millis(520)));
 }
 
-/// Half of the engine's work for tokens is done by experts here.
 #[googletest::test]
 fn a_pass_grows_with_its_requests_and_with_the_most_loaded_rank() {
     let cost = PassCost { steps: 4.0, step_ms: 5.0, request_ms: 1.0, expert_fraction: 0.5 };
@@ -203,38 +202,38 @@
     expect_that!(cost.pass_ms(5.0, 3.0), approx_eq(80.0));
 }
 
-/// While passes are nearly as long as streams may pause, new ones wait, but not past
-/// their own first event.
+/// New streams are deferred while passes are close to the gap objective, as long as their first
+/// event can still be in time.
 #[googletest::test]
-fn a_new_stream_is_held_while_passes_are_long_and_its_first_event_can_wait() {
-    let held = |pass_ms: f64| max_deferral(pass_ms, 120.0, Duration::from_millis(500)).as_millis();
-    expect_that!([60.0, 96.0].map(held), eq([0, 0]));
-    expect_that!([100.0, 140.0].map(held), eq([250, 150]));
-    expect_that!(held(300.0), eq(0));
-    // What is no stream waits for nothing.
+fn a_new_stream_is_deferred_while_passes_are_long_and_its_first_event_can_wait() {
+    let deferral =
+        |pass_ms: f64| max_deferral(pass_ms, 120.0, Duration::from_millis(500)).as_millis();
+    expect_that!([60.0, 96.0].map(deferral), eq([0, 0]));
+    expect_that!([100.0, 140.0].map(deferral), eq([250, 150]));
+    expect_that!(deferral(300.0), eq(0));
+    // A request without a gap objective is not deferred.
     let plain = max_deferral(400.0, 0.0, Duration::from_millis(500));
     expect_that!(plain, eq(Duration::ZERO));
 }
 
-/// What the store is about to bring is not fetched from another gateway, however long ago
-/// the last such moment was; what it does not bring is.
+/// Data is fetched from another gateway only if the store does not deliver it soon.
 #[googletest::test]
-fn only_what_does_not_come_by_itself_is_fetched() {
+fn only_data_that_the_store_does_not_deliver_is_fetched() {
     let at = |config, directory| Versions { config, directory: Revision::new(0, directory) };
     let ms = Uptime::from_millis;
     let mut lag = Lag::default();
-    // The store brings version 2 a moment later than another gateway tells of it.
+    // The store delivers version 2 shortly after another gateway announces it.
     expect_that!(lag.is_fetch_due(at(1, 5), at(2, 5), false, ms(0)), eq(false));
     expect_that!(lag.is_fetch_due(at(2, 5), at(2, 5), false, ms(250)), eq(false));
     expect_that!(lag.is_fetch_due(at(2, 5), at(3, 5), false, ms(9_000)), eq(false));
-    // Others that are no further, and newer ones all the while, don't begin it anew.
+    // Announcements of older or still newer versions don't restart the delay.
     expect_that!(lag.is_fetch_due(at(2, 5), at(2, 5), false, ms(9_100)), eq(false));
     expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_200)), eq(false));
     expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_350)), eq(true));
-    // It is fetched once, and again if that did not help.
+    // It is fetched once, and again if the first fetch did not help.
     expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_400)), eq(false));
     expect_that!(lag.is_fetch_due(at(2, 5), at(4, 6), false, ms(9_750)), eq(true));
-    // A list of servers counts like a configuration; one who knows nothing does not wait.
+    // Lists of servers are handled like configurations; a gateway without data does not wait.
     expect_that!(lag.is_fetch_due(at(4, 5), at(4, 6), false, ms(9_800)), eq(false));
     let mut lag = Lag::default();
     expect_that!(lag.is_fetch_due(at(0, 0), at(4, 6), true, ms(9_900)), eq(true));
@@ -243,17 +242,17 @@
 }
 
 #[googletest::test]
-fn callers_who_come_back_are_told_by_the_time_that_they_have_left() {
+fn retries_are_detected_by_their_shorter_timeouts() {
     let ms = Duration::from_millis;
-    let mut waits = RetryDetector::default();
-    expect_that!(waits.is_retry("r", ms(8_000)), eq(false));
-    expect_that!(waits.is_retry("r", ms(5_400)), eq(true));
-    expect_that!(waits.is_retry("r", ms(7_900)), eq(false));
-    // Another route's callers come with less.
-    expect_that!(waits.is_retry("s", ms(1_000)), eq(false));
-    // From now on this route's do, too.
-    let taken = (0..200).filter(|_| waits.is_retry("r", ms(7_000))).count();
+    let mut detector = RetryDetector::default();
+    expect_that!(detector.is_retry("r", ms(8_000)), eq(false));
+    expect_that!(detector.is_retry("r", ms(5_400)), eq(true));
+    expect_that!(detector.is_retry("r", ms(7_900)), eq(false));
+    // Timeouts are tracked per route.
+    expect_that!(detector.is_retry("s", ms(1_000)), eq(false));
+    // The route's first attempts now have shorter timeouts, which are learned.
+    let taken = (0..200).filter(|_| detector.is_retry("r", ms(7_000))).count();
     expect_that!(taken, le(100));
-    expect_that!(waits.is_retry("r", ms(7_000)), eq(false));
-    expect_that!(waits.is_retry("r", ms(4_400)), eq(true));
+    expect_that!(detector.is_retry("r", ms(7_000)), eq(false));
+    expect_that!(detector.is_retry("r", ms(4_400)), eq(true));
 }
--- a/tests/testsuite/lives.rs
+++ b/tests/testsuite/incarnations.rs
@@ -1,5 +1,5 @@
-//! A server that starts again under its id: what was known of the life before is gone with
-//! it, and late word of that one changes nothing.
+//! Guards against mixing up incarnations of a server that restarts under the same id: state of
+//! the previous one is dropped, and late reports of it are ignored.
 
 use super::{
     fleet::{listed, server},
@@ -26,32 +26,26 @@
 use std::{collections::BTreeMap, net::IpAddr, time::Duration};
 
 const FIRST: u64 = 1_790_000_000_000;
-/// Smaller: the time of day was set back before the second start.
+/// Smaller than the first, as if the clock was set back before the restart.
 const SECOND: u64 = FIRST - 50_000;
 
-fn lives(lives: &[(&str, u64)]) -> BTreeMap<String, Server> {
-    let one = |(id, born): &(&str, u64)| {
+fn servers(incarnations: &[(&str, u64)]) -> BTreeMap<String, Server> {
+    let one = |(id, incarnation): &(&str, u64)| {
         let (id, server) = server(id, ServerState::Ready);
-        (id, Server { incarnation: *born, ..server })
+        (id, Server { incarnation: *incarnation, ..server })
     };
-    lives.iter().map(one).collect()
+    incarnations.iter().map(one).collect()
 }
 
 fn fleet_of(servers: &[(&str, u64)]) -> Fleet {
     let mut fleet = Fleet::new("here");
-    fleet.replace(listed(5, lives(servers)), false, Uptime::default());
+    fleet.replace(listed(5, self::servers(servers)), false, Uptime::default());
     fleet.set_receiving(Some(Uptime::default()));
     fleet
 }
 
-fn told(running: u32, born: u64) -> LoadReport {
-    LoadReport {
-        running,
-        group_open: true,
-        pass_ms: 50,
-        incarnation: born,
-        ..LoadReport::default()
-    }
+fn report(running: u32, incarnation: u64) -> LoadReport {
+    LoadReport { running, group_open: true, pass_ms: 50, incarnation, ..LoadReport::default() }
 }
 
 fn load_milli(fleet: &Fleet, at: Uptime) -> Option<u32> {
@@ -62,61 +56,61 @@
 }
 
 #[googletest::test]
-fn a_life_begins_with_nothing_in_flight_and_is_used_at_once() {
+fn a_new_incarnation_starts_without_load_and_is_used_at_once() {
     let mut fleet = fleet_of(&[("a", FIRST)]);
     let at = Uptime::from_millis(3_000);
-    fleet.record_report("a", told(9, FIRST), at);
+    fleet.record_report("a", report(9, FIRST), at);
     (0..4).for_each(|_| fleet.record_sent("a", at));
     (0..3).for_each(|_| fleet.record_ended("a", FIRST, true, at));
     expect_that!(load_milli(&fleet, at), some(ge(900)));
-    // The list names another life: no gap, and none of the old load and failures.
-    fleet.replace(listed(6, lives(&[("a", SECOND)])), false, at);
+    // The list states a new incarnation, which has none of the old load and failures.
+    fleet.replace(listed(6, servers(&[("a", SECOND)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(0)));
     expect_that!(fleet.in_flight(), eq(0));
-    // What ends of the life before is not counted against this one.
+    // Requests to the previous incarnation that end now don't count.
     fleet.record_sent("a", at);
     fleet.record_ended("a", FIRST, true, at);
     expect_that!(fleet.in_flight(), eq(1));
 }
 
 #[googletest::test]
-fn late_word_of_the_life_before_changes_nothing() {
+fn late_reports_of_the_previous_incarnation_are_ignored() {
     let mut fleet = fleet_of(&[("a", FIRST)]);
     let at = Uptime::from_millis(3_000);
-    fleet.record_report("a", told(2, FIRST), at);
-    // Its sidecar is sooner than the list.
-    fleet.record_report("a", told(1, SECOND), at + Duration::from_millis(50));
+    fleet.record_report("a", report(2, FIRST), at);
+    // The sidecar reports the new incarnation before the list does.
+    fleet.record_report("a", report(1, SECOND), at + Duration::from_millis(50));
     expect_that!(load_milli(&fleet, at + Duration::from_millis(60)), some(eq(100)));
-    // A report and a list of before.
-    fleet.record_report("a", told(9, FIRST), at + Duration::from_millis(70));
-    fleet.replace(listed(6, lives(&[("a", FIRST)])), false, at + Duration::from_millis(80));
+    // A late report and a late list.
+    fleet.record_report("a", report(9, FIRST), at + Duration::from_millis(70));
+    fleet.replace(listed(6, servers(&[("a", FIRST)])), false, at + Duration::from_millis(80));
     expect_that!(load_milli(&fleet, at + Duration::from_millis(90)), some(eq(100)));
 }
 
 #[googletest::test]
-fn what_ran_in_a_life_that_is_over_is_taken_up_elsewhere_at_once() {
+fn requests_of_a_previous_incarnation_are_stuck_at_once() {
     let mut fleet = fleet_of(&[("a", FIRST), ("b", FIRST)]);
     let at = Uptime::from_millis(3_000);
     for id in ["a", "b"] {
-        fleet.record_report(id, told(1, FIRST), at);
+        fleet.record_report(id, report(1, FIRST), at);
     }
     fleet.record_sent("a", at);
     expect_that!(fleet.is_stuck("a", FIRST, at), eq(false));
-    fleet.record_report("a", told(0, SECOND), at);
+    fleet.record_report("a", report(0, SECOND), at);
     expect_that!(fleet.is_stuck("a", FIRST, at), eq(true));
     expect_that!(fleet.is_stuck("a", SECOND, at), eq(false));
 }
 
 #[googletest::test]
-fn servers_that_tell_no_life_are_as_before() {
+fn servers_without_an_incarnation_keep_their_state() {
     let mut fleet = fleet_of(&[("a", 0)]);
     let at = Uptime::from_millis(3_000);
-    fleet.record_report("a", told(3, 0), at);
+    fleet.record_report("a", report(3, 0), at);
     fleet.record_sent("a", at + Duration::from_millis(1));
-    fleet.replace(listed(6, lives(&[("a", 0)])), false, at);
+    fleet.replace(listed(6, servers(&[("a", 0)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(400)));
-    // One that says it later has not started again.
-    fleet.replace(listed(7, lives(&[("a", FIRST)])), false, at);
+    // Stating an incarnation later is not a restart.
+    fleet.replace(listed(7, servers(&[("a", FIRST)])), false, at);
     expect_that!(load_milli(&fleet, at), some(eq(400)));
     fleet.record_ended("a", 0, false, at + Duration::from_millis(2));
     expect_that!(fleet.in_flight(), eq(0));
@@ -129,17 +123,17 @@
 }
 
 #[googletest::test]
-fn counts_of_two_lives_are_not_subtracted() {
+fn counts_of_two_incarnations_are_not_subtracted() {
     let read = |born, counts: &[u64]| Choices { born, epoch: 3, pass: 1, counts: counts.to_vec() };
     let mut readings = Readings::default();
     readings.since(&poll(1, 0), read(FIRST, &[100, 100]), 1);
-    // The second life has counted past the first already.
+    // The second incarnation has already counted past the first.
     expect_that!(readings.since(&poll(2, 1), read(SECOND, &[400, 101]), 1), eq(&Vec::<u32>::new()));
     expect_that!(readings.since(&poll(3, 2), read(SECOND, &[405, 103]), 1), eq(&vec![5, 2]));
 }
 
 #[googletest::test]
-fn loads_of_the_life_before_are_not_awaited() {
+fn loads_of_the_previous_incarnation_are_not_awaited() {
     let at = Uptime::from_secs(5);
     let mut ranks = Ranks::new(Uptime::default());
     let brief = |born, read_at| RankBrief {
@@ -160,11 +154,11 @@
     expect_that!(is_busy(&ranks), eq(false));
 }
 
-/// A request that may run once and whose server starts again under its id before it
-/// answers: it may have run, and the new life must not get it.
+/// Guards against sending a request that may run once to the next incarnation of a server that
+/// restarts before it answers, since the request may have run.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_run_once_does_not_reach_the_next_life() -> Result<()> {
+async fn a_request_that_may_run_once_does_not_reach_the_next_incarnation() -> Result<()> {
     let site = Site::new(1)?;
     let first =
         Scripted::start(|_| vec![Act::Wait(Duration::from_millis(400)), Act::Reset]).await?;
--- a/tests/testsuite/overload.rs
+++ b/tests/testsuite/overload.rs
@@ -1,10 +1,9 @@
-//! A group at its worst load, replayed: bursts of more than it can serve, and a rank that is
-//! many times slower, before 8 to 149 gateways whose reports are old.
+//! Simulation of a group under overload: bursts beyond its capacity, and one slow rank, with 8 to
+//! 149 gateways that see delayed load reports.
 //!
-//! The replay has what decides: places, queues at the servers, passes that all ranks make
-//! together and that take longer the more run, reports that all gateways hear late. Each
-//! case is played with streams that a gateway may refuse, and with what stood before: the
-//! least loaded of four, or of all, with room.
+//! The simulation has slots, queues, passes in lock-step that grow with the load, and delayed
+//! reports. Each case runs with admission by the mean load and without it, where a stream goes to
+//! the least loaded of four servers, or of all, with capacity.
 
 use googletest::prelude::*;
 use mastweir_core::{
@@ -21,32 +20,32 @@
 
 const SERVERS: usize = 63;
 const SLOTS: usize = 10;
-/// A server refuses beyond this many that wait.
+/// Longest queue of a server.
 const QUEUE: usize = 30;
 const STEPS: f64 = 7.0;
 const STEP_MS: f64 = 4.84;
 const REQUEST_MS: f64 = 0.435;
-/// Skew of the experts, and the reading of prompts.
-const PASS_MORE: f64 = 1.25;
+/// Factor on the duration of passes for expert skew and prompts.
+const PASS_FACTOR: f64 = 1.25;
 const OBJECTIVE_MS: u64 = 400;
 const GAP_MS: f64 = 120.0;
 const DEADLINE_MS: u64 = 8_000;
 const EVENTS: u32 = 23;
-/// Usual arrivals a second, of all gateways together.
+/// Usual arrivals per second at all gateways together.
 const USUAL: f64 = 224.0;
 const LENGTH_MS: u64 = 18_000;
-/// Between two times that gateways hear of servers, and how old it is then.
-const TOLD_EVERY_MS: u64 = 150;
-const TOLD_AGE_MS: u64 = 200;
+/// Interval of load reports, and their age on arrival.
+const REPORT_INTERVAL_MS: u64 = 150;
+const REPORT_AGE_MS: u64 = 200;
 
 #[derive(Clone, Copy)]
 struct Case {
     gateways: usize,
-    /// Arrivals over the usual, from 2 s to 9 s.
+    /// Factor on the usual arrivals, from 2 s to 9 s.
     burst: f64,
-    /// How many times slower one rank is, from 2 s to 9 s.
+    /// Slowdown of one rank, from 2 s to 9 s.
     slow: f64,
-    /// Whether gateways may refuse streams.
+    /// Whether streams are subject to admission.
     admits: bool,
 }
 
@@ -64,7 +63,7 @@
     server: usize,
     arrived: u64,
     events: u32,
-    /// Whether all was in time so far.
+    /// Whether all events were in time so far.
     in_time: bool,
 }
 
@@ -73,7 +72,7 @@
     fleets: Vec<Fleet>,
     running: Vec<Vec<Running>>,
     waiting: Vec<VecDeque<Running>>,
-    /// Requests that wait at their gateway: arrival, gateway, chance, events.
+    /// Requests that wait at their gateway: arrival, gateway, draw, events.
     held: Vec<(u64, usize, f64, u32)>,
     rng: SmallRng,
     pass_ends: u64,
@@ -122,30 +121,29 @@
         }
     }
 
-    fn is_worst(ms: u64) -> bool {
+    fn is_overloaded(ms: u64) -> bool {
         (2_000..9_000).contains(&ms)
     }
 
-    fn pace(&self, server: usize, ms: u64) -> f64 {
-        if server == 0 && Self::is_worst(ms) { self.case.slow } else { 1.0 }
+    fn slowdown(&self, server: usize, ms: u64) -> f64 {
+        if server == 0 && Self::is_overloaded(ms) { self.case.slow } else { 1.0 }
     }
 
     fn play(mut self) -> Outcome {
         for ms in 0..LENGTH_MS {
-            if ms % TOLD_EVERY_MS == 0 {
-                self.tell(ms);
+            if ms % REPORT_INTERVAL_MS == 0 {
+                self.report(ms);
             }
-            let rate = if Self::is_worst(ms) { USUAL * self.case.burst } else { USUAL };
+            let rate = if Self::is_overloaded(ms) { USUAL * self.case.burst } else { USUAL };
             let sure = (rate / 1_000.0).floor();
             let arrivals = sure as u32 + u32::from(self.rng.random_bool(rate / 1_000.0 - sure));
             for _ in 0..arrivals {
                 let gateway = self.rng.random_range(0..self.case.gateways);
-                // Short ones and long ones, as callers know them.
                 let events = self.rng.random_range(EVENTS / 3..=EVENTS * 5 / 3);
                 self.held.push((ms, gateway, self.rng.random(), events));
             }
             if ms % 8 == 0 {
-                self.place_held(ms);
+                self.place_waiting(ms);
             }
             if ms >= self.pass_ends {
                 self.pass(ms);
@@ -154,10 +152,10 @@
         self.outcome
     }
 
-    fn place_held(&mut self, ms: u64) {
+    fn place_waiting(&mut self, ms: u64) {
         let now = Uptime::from_millis(ms);
-        for (arrived, gateway, chance, events) in std::mem::take(&mut self.held) {
-            let stream = StreamRequest { draw: chance, is_retry: false };
+        for (arrived, gateway, draw, events) in std::mem::take(&mut self.held) {
+            let stream = StreamRequest { draw, is_retry: false };
             let stream = Some(stream).filter(|_| self.case.admits);
             let needs =
                 Requirements { service: "s", tried: &[], max_load: 1.06, gap_ms: GAP_MS, stream };
@@ -168,7 +166,7 @@
                     self.send(request, &found.id, now);
                 }
                 Err(_) if ms - arrived >= OBJECTIVE_MS / 5 => self.outcome.refused += 1,
-                Err(_) => self.held.push((arrived, gateway, chance, events)),
+                Err(_) => self.held.push((arrived, gateway, draw, events)),
             }
         }
     }
@@ -182,7 +180,7 @@
         self.waiting[request.server].push_back(request);
     }
 
-    /// A pass ends: those that run get an event, those that wait begin.
+    /// Ends a pass: running requests get an event, waiting ones start.
     fn pass(&mut self, ms: u64) {
         let now = Uptime::from_millis(ms);
         for server in 0..SERVERS {
@@ -190,8 +188,8 @@
             for mut request in std::mem::take(&mut self.running[server]) {
                 request.events -= 1;
                 request.in_time &= self.pass_ms <= GAP_MS;
-                let waits = ms - request.arrived;
-                if request.events > 0 && waits < DEADLINE_MS {
+                let age = ms - request.arrived;
+                if request.events > 0 && age < DEADLINE_MS {
                     kept.push(request);
                     continue;
                 }
@@ -212,31 +210,30 @@
         }
         let own = |server: usize| {
             let running = self.running[server].len() as f64;
-            STEPS * (STEP_MS + REQUEST_MS * running) * self.pace(server, ms)
+            STEPS * (STEP_MS + REQUEST_MS * running) * self.slowdown(server, ms)
         };
-        self.pass_ms = (0..SERVERS).map(own).fold(0.0, f64::max) * PASS_MORE;
+        self.pass_ms = (0..SERVERS).map(own).fold(0.0, f64::max) * PASS_FACTOR;
         self.pass_ends = ms + self.pass_ms as u64;
     }
 
-    /// Gateways hear of the servers as they are now, and take it for older than it is
-    /// where it was delayed.
-    fn tell(&mut self, ms: u64) {
-        let now = Uptime::from_millis(ms + TOLD_AGE_MS);
-        let age = Duration::from_millis(TOLD_AGE_MS);
+    /// Delivers load reports to all gateways, marked with their age.
+    fn report(&mut self, ms: u64) {
+        let now = Uptime::from_millis(ms + REPORT_AGE_MS);
+        let age = Duration::from_millis(REPORT_AGE_MS);
         for server in 0..SERVERS {
-            let told = LoadReport {
+            let report = LoadReport {
                 running: self.running[server].len() as u32,
                 waiting: self.waiting[server].len() as u32,
                 group: Some("g".to_owned()),
                 group_open: true,
                 pass_ms: self.pass_ms as u32,
-                slowdown_milli: (self.pace(server, ms) * 1_000.0) as u32,
+                slowdown_milli: (self.slowdown(server, ms) * 1_000.0) as u32,
                 ..LoadReport::default()
             };
-            let told = |fleet: &mut Fleet| {
-                fleet.record_forwarded(&id(server), told.clone(), age, now);
+            let record = |fleet: &mut Fleet| {
+                fleet.record_forwarded(&id(server), report.clone(), age, now);
             };
-            self.fleets.iter_mut().for_each(told);
+            self.fleets.iter_mut().for_each(record);
         }
     }
 }
@@ -246,7 +243,7 @@
 }
 
 #[googletest::test]
-fn what_is_served_in_time_does_not_fall_as_more_is_asked() {
+fn goodput_does_not_fall_under_overload() {
     for gateways in [8, 38] {
         let at_capacity = play(gateways, 1.4, 1.0, true).in_time;
         for burst in [1.8, 2.4, 5.0] {
@@ -261,7 +258,7 @@
 }
 
 #[googletest::test]
-fn behind_a_slow_rank_fewer_wait_for_nothing() {
+fn fewer_requests_time_out_behind_a_slow_rank() {
     let (now, before) = (play(38, 1.0, 12.0, true), play(38, 1.0, 12.0, false));
     expect_that!(now.failed, lt(before.failed), "{now:?}, {before:?}");
     expect_that!(now.in_time, ge(before.in_time), "{now:?}, {before:?}");
