--- a/crates/mastweir-bench/src/commands/control.rs
+++ b/crates/mastweir-bench/src/commands/control.rs
@@ -293,8 +293,8 @@
         let picked = rand::rng().random_range(0..size.entries.max(2) - 1) < 3;
         if picked {
             let table = Digest::default();
-            let heard = Vec::new();
-            let packet = Packet::Heartbeat { table, beat, leaving: false, heard };
+            let others = Vec::new();
+            let packet = Packet::Heartbeat { table, beat, leaving: false, others };
             socket.send(to, &packet).await;
         }
         if child && sent.elapsed() >= period {
--- a/crates/mastweir-core/src/experts/greedy.rs
+++ b/crates/mastweir-core/src/experts/greedy.rs
@@ -18,9 +18,9 @@
     let mut loads = vec![0.0_f64; ranks];
     for expert in order {
         let open = (0..ranks).filter(|rank| placed[*rank].len() < slots);
-        let fresh = |rank: &usize| placed[*rank].contains(&expert);
+        let holds = |rank: &usize| placed[*rank].contains(&expert);
         let best =
-            open.min_by(|a, b| fresh(a).cmp(&fresh(b)).then(loads[*a].total_cmp(&loads[*b])));
+            open.min_by(|a, b| holds(a).cmp(&holds(b)).then(loads[*a].total_cmp(&loads[*b])));
         let Some(rank) = best else { break };
         placed[rank].push(expert);
         loads[rank] += part(expert);
--- a/crates/mastweir-core/src/experts/layer_planner.rs
+++ b/crates/mastweir-core/src/experts/layer_planner.rs
@@ -5,8 +5,8 @@
 //! meanwhile. Each number of steps is therefore scored by the time saved within a horizon
 //! minus the cost of its loads. Where a group has slots for requests to spare, faster
 //! passes help little; `pressure` scales the gain. A slow rank takes longer for the same
-//! work, so its experts are copied to other ranks and then dropped from it, which needs no
-//! load.
+//! work, so its experts are copied to other ranks and then dropped from the slow one, which
+//! needs no load.
 //!
 //! The planner takes the best step of any set, first with one load per rank, then with
 //! larger budgets, and keeps the prefix of steps with the highest net gain. A plan for a
--- a/crates/mastweir-core/src/experts/planner.rs
+++ b/crates/mastweir-core/src/experts/planner.rs
@@ -216,8 +216,8 @@
         for (from, a) in hot.iter().enumerate() {
             for (slot, b) in experts.iter().enumerate() {
                 let less = placement.copy_load(*b, demand) < placement.copy_load(*a, demand);
-                let fresh = !experts.contains(a) && !hot.contains(b);
-                if less && fresh {
+                let addable = !experts.contains(a) && !hot.contains(b);
+                if less && addable {
                     let there = SlotChange { rank, slot, expert: *a };
                     let here = SlotChange { rank: slowest, slot: from, expert: *b };
                     steps.push(vec![there, here]);
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -185,7 +185,7 @@
         /// Whether the sender takes no new requests.
         leaving: bool,
         /// Latest heartbeats of other entry processes that the sender knows.
-        heard: Vec<Heartbeat>,
+        others: Vec<Heartbeat>,
     },
     /// Service that customers received, for fleet-wide shares.
     Usage(Usage),
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -48,10 +48,10 @@
             Packet::Report(load) if load.incarnation == datagram.incarnation => {
                 lock(&shared.view).report(&datagram.from, &load, now);
             }
-            Packet::Heartbeat { table, beat, leaving, heard } => {
+            Packet::Heartbeat { table, beat, leaving, others } => {
                 let incarnation = datagram.incarnation;
                 let own = Heartbeat { name: datagram.from.clone(), incarnation, beat, leaving };
-                hear(&shared, &own, &heard);
+                hear(&shared, &own, &others);
                 if table::is_behind(&shared, table) {
                     fetch_from(&shared, &datagram.from);
                 }
--- a/src/mastweir/entry/heartbeat.rs
+++ b/src/mastweir/entry/heartbeat.rs
@@ -57,6 +57,6 @@
     let table = lock(&shared.table).digest();
     let leaving = shared.leaving.load(Ordering::SeqCst);
     let beat = shared.context.clock.now().0;
-    let heard = lock(&shared.members).sample(NAMED, &mut *lock(&shared.rng));
-    Packet::Heartbeat { table, beat, leaving, heard }
+    let others = lock(&shared.members).sample(NAMED, &mut *lock(&shared.rng));
+    Packet::Heartbeat { table, beat, leaving, others }
 }
