--- a/crates/mastweir-core/src/gateway/permit_issuer.rs
+++ b/crates/mastweir-core/src/gateway/permit_issuer.rs
@@ -48,8 +48,8 @@
     /// Permits in the bucket, as of `updated`.
     permits: f64,
     updated: Uptime,
-    /// Latest time for which a gateway without permits was told to wait.
-    next_wait: Uptime,
+    /// Until when the last gateway without permits has to wait.
+    wait_until: Uptime,
 }
 
 /// Token buckets of the servers for which this gateway is the issuer.
@@ -63,7 +63,7 @@
         let mut buckets = std::mem::take(&mut self.0);
         for id in ids {
             let at = now + HANDOVER_DELAY;
-            let new = Bucket { active_from: at, permits: 0.0, updated: at, next_wait: at };
+            let new = Bucket { active_from: at, permits: 0.0, updated: at, wait_until: at };
             self.0.insert(id.to_owned(), buckets.remove(id).unwrap_or(new));
         }
     }
@@ -91,13 +91,13 @@
 }
 
 impl Bucket {
-    /// Returns when a gateway that got no permit may ask again. Each one gets a later time, so
+    /// Returns how long a gateway that got no permit has to wait. Each one gets a later time, so
     /// that they do not all return for the next permit.
     fn retry_after(&mut self, per_s: f64, now: Uptime) -> Duration {
         let next = now + Duration::from_secs_f64((1.0 - self.permits) / per_s);
-        let after_last = self.next_wait + Duration::from_secs_f64(1.0 / per_s);
-        let at = if self.next_wait > now { next.max(after_last) } else { next };
-        self.next_wait = at.min(now + MAX_WAIT);
-        self.next_wait.since(now)
+        let after_last = self.wait_until + Duration::from_secs_f64(1.0 / per_s);
+        let at = if self.wait_until > now { next.max(after_last) } else { next };
+        self.wait_until = at.min(now + MAX_WAIT);
+        self.wait_until.since(now)
     }
 }
--- a/crates/mastweir-core/src/gateway/permit_requester.rs
+++ b/crates/mastweir-core/src/gateway/permit_requester.rs
@@ -18,8 +18,8 @@
     time::Duration,
 };
 
-/// Servers of a service for which permits are requested in one round. There are never more
-/// than pending requests, since unused permits expire here and are missing elsewhere.
+/// Most servers of a service for which permits are requested in one round, unless fewer
+/// requests are pending: unused permits expire here and are missing elsewhere.
 const SERVERS_PER_ROUND: usize = 4;
 /// Most permits requested for one server in one round.
 const MAX_PERMITS: u32 = 64;
