--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -2,8 +2,8 @@
 
 use super::{
     call::{Call, Progress},
-    examine::broke_off,
-    said::{Heard, said},
+    crash_probe::broke_off,
+    server_notices::{Heard, said},
     state::Gateway,
 };
 use crate::{
@@ -69,7 +69,7 @@
         let now = self.gateway.clock.now();
         let Candidate { id, incarnation: born, .. } = &self.server;
         self.gateway.fleet.borrow_mut().record_ended(id, *born, self.failed.get(), now);
-        self.gateway.news.notify_waiters();
+        self.gateway.server_changes.notify_waiters();
     }
 }
 
@@ -87,10 +87,10 @@
     let addr = place.server.addr;
     let id = &place.server.id;
     let lent = gateway.fleet.borrow_mut().take_permit(id, gateway.clock.now());
-    let idle = if call.route().is_repeatable() { gateway.servers.reuse(addr) } else { None };
+    let idle = if call.route().is_repeatable() { gateway.server_pool.reuse(addr) } else { None };
     let opened = match idle {
         Some(exchange) => Ok(exchange),
-        None => gateway.servers.open(addr, CONNECT_LASTS.min(call.left())).await,
+        None => gateway.server_pool.open(addr, CONNECT_LASTS.min(call.left())).await,
     };
     let mut exchange = opened.map_err(|error| {
         unreachable(gateway, call, &place, &error);
@@ -98,7 +98,7 @@
     })?;
     // The server may have said so, or named its limit, while the connection opened.
     if !gateway.fleet.borrow_mut().may_send(id, lent, gateway.clock.now()) {
-        gateway.servers.give_back(exchange, None);
+        gateway.server_pool.give_back(exchange, None);
         return Err(AttemptResult::NotRun(Proof::NeverSent));
     }
     let added = Added {
@@ -118,7 +118,7 @@
         reason = stuck(gateway, call, &place, false) => {
             progress.runs += 1;
             place.fail();
-            gateway.tally.count("attempts_failed_total", reason);
+            gateway.metrics.count("attempts_failed_total", reason);
             info!(gateway.log, "server makes no progress"; "id" => &call.head.id,
                 "server" => &place.server.id, "reason" => reason,
                 "fingerprint" => %call.fingerprint());
@@ -213,27 +213,27 @@
         return false;
     }
     if call.quarantine(gateway).is_some() {
-        gateway.tally.count("retries_denied_total", "quarantined");
+        gateway.metrics.count("retries_denied_total", "quarantined");
         return false;
     }
     let unsent = answer == AttemptResult::NotRun(Proof::NeverSent);
     let allowed = unsent || gateway.take_retry(&call.service);
     if !allowed {
-        gateway.tally.count("retries_denied_total", "budget");
+        gateway.metrics.count("retries_denied_total", "budget");
     }
     allowed
 }
 
 fn unreachable(gateway: &Gateway, call: &Call, place: &Place, error: &CallError) {
     gateway.fleet.borrow_mut().record_unreachable(&place.server.id, gateway.clock.now());
-    gateway.tally.count("attempts_failed_total", "unreachable");
+    gateway.metrics.count("attempts_failed_total", "unreachable");
     info!(gateway.log, "server not reached"; "id" => &call.head.id, "server" => &place.server.id,
         "error" => %error);
 }
 
 fn broken(gateway: &Gateway, call: &Call, place: &Place, error: &CallError) {
     place.fail();
-    gateway.tally.count("attempts_failed_total", "broken");
+    gateway.metrics.count("attempts_failed_total", "broken");
     info!(gateway.log, "attempt broken"; "id" => &call.head.id, "server" => &place.server.id,
         "fingerprint" => %call.fingerprint(), "error" => %error);
 }
@@ -251,7 +251,7 @@
         }
         _ => (),
     }
-    gateway.tally.count("attempts_failed_total", "refused");
+    gateway.metrics.count("attempts_failed_total", "refused");
     info!(gateway.log, "server refused"; "id" => &call.head.id, "server" => &place.server.id,
         "proof" => ?proof, "load_milli" => place.server.load_milli, "leaving" => head.leaving,
         "limit_per_s" => head.limit.rate().map(Rate::requests),
--- a/src/mastweir/gateway/examine.rs
+++ b/src/mastweir/gateway/crash_probe.rs
@@ -35,7 +35,7 @@
     let request = call.fingerprint();
     let life = Fingerprint::of_incarnation(&server.id);
     gateway.suspects.borrow_mut().add_suspect(request, life, gateway.clock.now());
-    let (is_new, first) = gateway.looks.broke_off(&server.id, request);
+    let (is_new, first) = gateway.pending_probes.broke_off(&server.id, request);
     if is_new {
         task::spawn_local(examine(gateway.clone(), server.clone()));
     }
@@ -52,7 +52,7 @@
     let mut ended = false;
     for _ in 0..LOOKS_MAX {
         let look = look(&gateway, &server, &mut open).await;
-        gateway.looks.looked(&server.id);
+        gateway.pending_probes.looked(&server.id);
         if look == before && look != Look::Silent {
             ended = look == Look::Refused;
             break;
@@ -61,7 +61,7 @@
         time::sleep(LOOK_AGAIN).await;
     }
     if let Some(open) = open {
-        gateway.servers.give_back(open, None);
+        gateway.server_pool.give_back(open, None);
     }
     conclude(&gateway, &server, ended);
 }
@@ -71,7 +71,7 @@
         return Look::Opened;
     }
     *open = None;
-    match gateway.servers.open(server.addr, LOOK_LASTS).await {
+    match gateway.server_pool.open(server.addr, LOOK_LASTS).await {
         Ok(exchange) => {
             *open = Some(exchange);
             Look::Opened
@@ -85,7 +85,7 @@
 }
 
 fn conclude(gateway: &Rc<Gateway>, server: &Candidate, ended: bool) {
-    let requests = gateway.looks.conclude(&server.id);
+    let requests = gateway.pending_probes.conclude(&server.id);
     let now = gateway.clock.now();
     let life = Fingerprint::of_incarnation(&server.id);
     let mut suspects = gateway.suspects.borrow_mut();
@@ -93,7 +93,7 @@
         requests.iter().for_each(|request| suspects.clear(*request, life));
         return;
     }
-    gateway.tally.count("servers_ended_total", "under_requests");
+    gateway.metrics.count("servers_ended_total", "under_requests");
     info!(gateway.log, "server ended under requests"; "server" => &server.id,
         "requests" => requests.len(), "first" => requests.first().map(Fingerprint::to_string));
     for request in &requests {
--- a/src/mastweir/gateway/datagrams.rs
+++ b/src/mastweir/gateway/datagrams.rs
@@ -7,5 +7,5 @@
 /// Sends a datagram; it may be lost. A full buffer drops it: the next one comes soon.
 pub fn send(gateway: &Gateway, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
     let label = if socket.try_send_to(bytes, to).is_ok() { "sent" } else { "dropped" };
-    gateway.tally.count("datagrams_total", label);
+    gateway.metrics.count("datagrams_total", label);
 }
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -24,11 +24,12 @@
 /// Fetches what another gateway has newer.
 pub async fn fetch(gateway: Rc<Gateway>, from: IpAddr) {
     let addr = gateway.internal_addr(from);
-    if !gateway.caught_up.get() {
+    if !gateway.has_quarantines.get() {
         fetch_quarantined(&gateway, from).await;
     }
     let version = gateway.version();
-    let config = internal::call(&gateway.internal, addr, "/config", &version, FETCH_LASTS).await;
+    let config =
+        internal::call(&gateway.internal_pool, addr, "/config", &version, FETCH_LASTS).await;
     match config {
         Ok(Some(config)) => gateway.adopt_config(config, &from.to_string()),
         Ok(None) => (),
@@ -38,16 +39,16 @@
     }
     let revision = gateway.fleet.borrow().directory().revision;
     let change: Result<Option<DirectoryChange>, _> =
-        internal::call(&gateway.internal, addr, "/servers", &revision, FETCH_LASTS).await;
+        internal::call(&gateway.internal_pool, addr, "/servers", &revision, FETCH_LASTS).await;
     match change {
         Ok(Some(change)) => {
             let whole = change.is_complete;
             let gone = change.removed.clone();
             let directory = gateway.fleet.borrow().directory().changed(change);
             if whole {
-                gateway.adopt_whole(directory, false, &from.to_string());
+                gateway.adopt_complete(directory, false, &from.to_string());
             } else {
-                gateway.adopt_changed(directory, &gone, false, &from.to_string());
+                gateway.adopt_changes(directory, &gone, false, &from.to_string());
             }
         }
         Ok(None) => (),
@@ -59,11 +60,11 @@
 async fn fetch_quarantined(gateway: &Rc<Gateway>, from: IpAddr) {
     let addr = gateway.internal_addr(from);
     let fetched: Result<Vec<SuspectReport>, _> =
-        internal::call(&gateway.internal, addr, "/quarantined", &(), FETCH_LASTS).await;
+        internal::call(&gateway.internal_pool, addr, "/quarantined", &(), FETCH_LASTS).await;
     match fetched {
         Ok(suspected) => {
             quarantine::told(gateway, &suspected, &from.to_string());
-            gateway.caught_up.set(true);
+            gateway.has_quarantines.set(true);
         }
         Err(error) => {
             warn!(gateway.log, "quarantine not fetched"; "peer" => %from, "error" => %error);
@@ -113,7 +114,7 @@
 
 /// A group's coordinator, if one was heard of, with its age now.
 pub fn lead(gateway: &Gateway, group: &str) -> Option<LeadSeen> {
-    let leads = gateway.leads.borrow();
+    let leads = gateway.coordinators.borrow();
     let (seen, at) = leads.get(group)?;
     let age = gateway.clock.now().since(*at).as_millis();
     Some(LeadSeen { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..seen.clone() })
--- a/src/mastweir/gateway/ending.rs
+++ b/src/mastweir/gateway/final_answer.rs
@@ -40,7 +40,7 @@
         Refusal::Limited(_) => "limited",
         Refusal::NoServer => "no_server",
     };
-    gateway.tally.count("refusals_total", reason);
+    gateway.metrics.count("refusals_total", reason);
     info!(gateway.log, "no server found"; "id" => &call.head.id, "service" => &call.service,
         "reason" => reason, "tried" => progress.tried.join(","),
         "returned" => call.returned, "left_ms" => call.left().as_millis() as u64,
@@ -56,7 +56,7 @@
     progress: &Progress,
     quarantine: Quarantine,
 ) -> Reply {
-    gateway.tally.count("refusals_total", "quarantined");
+    gateway.metrics.count("refusals_total", "quarantined");
     info!(gateway.log, "quarantined request refused"; "id" => &call.head.id, "ends" => quarantine.crashes, "proved" => quarantine.confirmed,
         "fingerprint" => %call.fingerprint(), "age_ms" => quarantine.age.as_millis() as u64,
         "tried" => progress.tried.join(","));
@@ -96,13 +96,13 @@
         _ if late => (StatusCode::GATEWAY_TIMEOUT, None),
         _ => (StatusCode::BAD_GATEWAY, None),
     };
-    log_end(gateway, call, progress, "ended", status);
+    log_outcome(gateway, call, progress, "ended", status);
     own(&call.head.id, status, retry_after)
 }
 
 /// Refuses a request before any server was looked for.
 pub fn refuse(gateway: &Gateway, id: &str, status: StatusCode, reason: &'static str) -> Reply {
-    gateway.tally.count("refusals_total", reason);
+    gateway.metrics.count("refusals_total", reason);
     info!(gateway.log, "request refused"; "id" => id, "status" => status.as_u16(),
         "reason" => reason, "config" => gateway.version());
     let retry = (status == StatusCode::SERVICE_UNAVAILABLE).then_some(BACK_FULL);
@@ -117,7 +117,7 @@
 }
 
 /// The line of a request that has its answer, or its stream's head.
-pub fn log_end(
+pub fn log_outcome(
     gateway: &Gateway,
     call: &Call,
     progress: &Progress,
@@ -125,8 +125,8 @@
     status: StatusCode,
 ) {
     let took = call.age();
-    gateway.tally.count("requests_total", outcome);
-    gateway.tally.observe("request_seconds", took);
+    gateway.metrics.count("requests_total", outcome);
+    gateway.metrics.observe("request_seconds", took);
     info!(gateway.log, "request"; "id" => &call.head.id, "route" => &call.route().name,
         "outcome" => outcome, "status" => status.as_u16(), "took_ms" => took.as_millis() as u64,
         "late" => if took.as_millis() > u128::from(call.route().objective_ms) { "yes" } else { "no" },
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -3,9 +3,9 @@
 use super::{
     attempt::{Got, attempt, may_retry},
     call::{Call, Progress},
-    ending::{BACK_FULL, end, log_end, no_server, quarantined, refuse},
-    examine::broke_off,
-    held::Held,
+    crash_probe::broke_off,
+    final_answer::{BACK_FULL, end, log_outcome, no_server, quarantined, refuse},
+    in_flight::Held,
     lending,
     state::Gateway,
     stream::{self, Reply},
@@ -106,8 +106,9 @@
     };
     let wait = head.wait.unwrap_or(WAIT_USUAL).min(Duration::from_millis(route.timeout_ms));
     let deadline = arrived + wait.min(WAIT_MAX);
-    let returned =
-        head.wait.is_some_and(|wait| gateway.waits.borrow_mut().is_retry(&route.name, wait));
+    let returned = head
+        .wait
+        .is_some_and(|wait| gateway.retry_detector.borrow_mut().is_retry(&route.name, wait));
     let limit = active.config.limits.body_bytes;
     let body = gateway.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
     let body = match body {
@@ -175,7 +176,7 @@
         let answer = match got {
             Err(answer) => answer,
             Ok(got) if is_stream(&call, &got) => {
-                log_end(gateway, &call, &progress, "streaming", got.parts.status);
+                log_outcome(gateway, &call, &progress, "streaming", got.parts.status);
                 return stream::reply(gateway.clone(), call, got, progress, held);
             }
             Ok(got) => match whole(gateway, &call, got, &progress).await {
@@ -220,7 +221,7 @@
     let room = if call.is_model() { MODEL_ROOM } else { PLAIN_ROOM };
     lending::want(gateway, &call.service);
     loop {
-        let news = gateway.news.notified();
+        let news = gateway.server_changes.notified();
         let refusal = match gateway.choose(call.needs_first(&progress.tried, room)) {
             Ok(server) if is_paced(call, progress, &server) => return Ok(server),
             Ok(_) => None,
@@ -287,13 +288,13 @@
     let is_broken = matches!(read, Ok(Err(_)));
     let Ok(Ok(body)) = read else {
         place.fail();
-        gateway.tally.count("attempts_failed_total", "cut");
+        gateway.metrics.count("attempts_failed_total", "cut");
         if is_broken {
             broke_off(gateway, call, &place.server).await;
         }
         return Err(AttemptResult::Broken);
     };
-    gateway.servers.give_back(exchange, head.keep);
+    gateway.server_pool.give_back(exchange, head.keep);
     let status = parts.status;
     let failed = status.is_server_error();
     if failed {
@@ -321,7 +322,7 @@
     let mut reply = Response::new(Either::Left(Full::new(body.to_bytes())));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers::for_caller(&parts.headers);
-    log_end(gateway, call, progress, "answered", status);
+    log_outcome(gateway, call, progress, "answered", status);
     Ok(reply)
 }
 
--- a/src/mastweir/gateway/held.rs
+++ b/src/mastweir/gateway/in_flight.rs
@@ -14,7 +14,7 @@
 impl Held {
     /// Counts one on a connection.
     pub fn new(gateway: &Rc<Gateway>, connection: &Rc<Cell<usize>>) -> Self {
-        gateway.held.set(gateway.held.get() + 1);
+        gateway.in_flight.set(gateway.in_flight.get() + 1);
         connection.set(connection.get() + 1);
         Self { gateway: gateway.clone(), connection: connection.clone() }
     }
@@ -22,7 +22,7 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.gateway.held.set(self.gateway.held.get() - 1);
+        self.gateway.in_flight.set(self.gateway.in_flight.get() - 1);
         self.connection.set(self.connection.get() - 1);
     }
 }
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -35,7 +35,7 @@
     until: Uptime,
 ) -> Result<Candidate, Refusal> {
     loop {
-        let news = gateway.news.notified();
+        let news = gateway.server_changes.notified();
         match gateway.choose(needs) {
             Err(Refusal::Limited(wait)) if gateway.clock.now() + wait < until => {
                 want(gateway, needs.service);
@@ -100,11 +100,11 @@
     let mut lender = gateway.lending.lender.borrow_mut();
     let PermitGrant { count, wait } = lender.grant(&server, per_s * part, wanted, now);
     if count > 0 {
-        gateway.tally.count("tokens_total", "lent");
+        gateway.metrics.count("tokens_total", "lent");
         info!(gateway.log, "tokens lent"; "server" => &server, "wanted" => wanted,
             "count" => count, "per_s" => per_s, "part" => part, "to" => %to);
     } else {
-        gateway.tally.count("tokens_total", "none");
+        gateway.metrics.count("tokens_total", "none");
     }
     LentFor { server, count, wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) }
 }
@@ -125,7 +125,7 @@
     let asked = gateway.lending.borrower.borrow_mut().accept_answer(lent.number, now);
     match asked {
         Some(asked) => take(gateway, lent.loans, asked),
-        None => gateway.tally.count("tokens_total", "late"),
+        None => gateway.metrics.count("tokens_total", "late"),
     }
 }
 
@@ -139,5 +139,5 @@
             fleet.deny_permits_before(&server, now + Duration::from_millis(u64::from(wait_ms)));
         }
     }
-    gateway.news.notify_waiters();
+    gateway.server_changes.notify_waiters();
 }
--- a/src/mastweir/gateway/limits.rs
+++ b/src/mastweir/gateway/limit_gossip.rs
@@ -9,7 +9,7 @@
     lending,
     message::{LIMITS_SENT, Message},
     relay::send_all,
-    said::log_limit,
+    server_notices::log_limit_change,
     state::Gateway,
     suspects::hearers,
 };
@@ -18,30 +18,30 @@
 use tokio::{net::UdpSocket, time};
 
 /// News is told on this often: through two speakers all gateways have it within 0.5 s.
-const TELL_EVERY: Duration = Duration::from_millis(150);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
 /// Rounds of that between two times that a speaker tells what holds.
-const AGAIN_ROUNDS: u32 = 20;
+const REPEAT_ROUNDS: u32 = 20;
 
 /// Tells others, for ever.
-pub async fn tell(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut round = 0_u32;
     loop {
         if gateway.fleet.borrow().has_limits() {
             lending::tend(&gateway);
-            tell_once(&gateway, &socket, round);
+            send_updates(&gateway, &socket, round);
         }
         round = round.wrapping_add(1);
-        time::sleep(TELL_EVERY).await;
+        time::sleep(GOSSIP_INTERVAL).await;
     }
 }
 
-fn tell_once(gateway: &Gateway, socket: &UdpSocket, round: u32) {
+fn send_updates(gateway: &Gateway, socket: &UdpSocket, round: u32) {
     let now = gateway.clock.now();
     let mut told = gateway.fleet.borrow().limits_to_send(false, now);
-    if gateway.speaks.get() && round.is_multiple_of(AGAIN_ROUNDS) {
+    if gateway.is_relay.get() && round.is_multiple_of(REPEAT_ROUNDS) {
         let all = gateway.fleet.borrow().limits_to_send(true, now);
         let chunks = all.len().div_ceil(LIMITS_SENT).max(1);
-        let turn = (round / AGAIN_ROUNDS) as usize % chunks;
+        let turn = (round / REPEAT_ROUNDS) as usize % chunks;
         told.extend(all.into_iter().skip(turn * LIMITS_SENT).take(LIMITS_SENT));
     }
     if !told.is_empty() {
@@ -50,7 +50,7 @@
 }
 
 /// Tells a gateway that has just started.
-pub fn tell_new(gateway: &Gateway, socket: &UdpSocket, ip: IpAddr) {
+pub fn send_all_to(gateway: &Gateway, socket: &UdpSocket, ip: IpAddr) {
     let all = gateway.fleet.borrow().limits_to_send(true, gateway.clock.now());
     send(gateway, socket, &[ip], &all);
 }
@@ -64,14 +64,14 @@
 }
 
 /// Takes in what another gateway tells.
-pub fn told(gateway: &Gateway, all: &[LimitUpdate]) {
+pub fn receive(gateway: &Gateway, all: &[LimitUpdate]) {
     let now = gateway.clock.now();
     for limited in all {
         let LimitUpdate { server, incarnation: born, .. } = limited;
         let word = limited.report(now);
         let change = gateway.fleet.borrow_mut().record_limit(server, *born, word, now);
         if let Some(change) = change {
-            log_limit(gateway, server, change, "gateway");
+            log_limit_change(gateway, server, change, "gateway");
         }
     }
 }
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -59,7 +59,7 @@
     let (closing, closed) = flag::channel(false);
     let counted = gateway.clone();
     task::spawn_local(eras::follow(gateway.store.clone(), gateway.log.clone(), move || {
-        counted.tally.count("store_eras_total", "changed");
+        counted.metrics.count("store_eras_total", "changed");
     }));
     task::spawn_local(watch::config(gateway.clone()));
     task::spawn_local(watch::servers(gateway.clone()));
@@ -81,7 +81,7 @@
     let grace = gateway.settings.borrow().bounds.grace;
     let end = time::Instant::now() + grace.saturating_sub(STOP_MARGIN);
     gateway.stopping.set(true);
-    info!(gateway.log, "gateway stopping"; "held" => gateway.held.get(),
+    info!(gateway.log, "gateway stopping"; "held" => gateway.in_flight.get(),
         "connections" => gateway.connections.get());
     time::sleep(UNREADY_LASTS.min(grace / 2)).await;
     // The receivers are connections; none may be left.
@@ -102,9 +102,9 @@
 async fn sweep(gateway: Rc<Gateway>) {
     loop {
         time::sleep(SWEEP_EVERY).await;
-        gateway.servers.sweep();
-        gateway.internal.sweep();
-        gateway.drop_lapsed();
+        gateway.server_pool.sweep();
+        gateway.internal_pool.sweep();
+        gateway.drop_expired();
         gateway.suspects.borrow_mut().expire(gateway.clock.now());
     }
 }
@@ -121,7 +121,7 @@
             Ok((stream, _)) if gateway.connections.get() < CONNECTIONS_MAX => {
                 task::spawn_local(connection(gateway.clone(), stream, closed.clone()));
             }
-            Ok(_) => gateway.tally.count("connections_refused_total", "full"),
+            Ok(_) => gateway.metrics.count("connections_refused_total", "full"),
             Err(error) => {
                 warn!(gateway.log, "connection not accepted"; "error" => %error);
                 time::sleep(ACCEPT_PAUSE).await;
@@ -173,7 +173,7 @@
         }
     };
     if ended.is_err() {
-        gateway.tally.count("connections_broken_total", "caller");
+        gateway.metrics.count("connections_broken_total", "caller");
     }
 }
 
@@ -197,7 +197,7 @@
 }
 
 async fn serve_metrics(gateway: Rc<Gateway>, listener: TcpListener) {
-    serve_small(listener, move || (StatusCode::OK, gateway.tally.render())).await;
+    serve_small(listener, move || (StatusCode::OK, gateway.metrics.render())).await;
 }
 
 /// Serves the same answer on every path.
--- a/src/mastweir/gateway/mod.rs
+++ b/src/mastweir/gateway/mod.rs
@@ -11,29 +11,29 @@
 
 mod attempt;
 mod call;
+mod crash_probe;
 mod datagrams;
-mod ending;
 pub mod eras;
-mod examine;
 mod fetch;
+mod final_answer;
 pub mod follow;
 mod forward;
-mod held;
+mod in_flight;
 mod lending;
-mod limits;
+mod limit_gossip;
 mod listen;
 mod loans;
-mod looks;
+mod log_once;
 pub mod message;
 mod peers;
+mod pending_probes;
 mod quarantine;
 mod relay;
-mod said;
+mod server_notices;
 pub mod settings;
 mod state;
 mod stream;
 mod suspects;
-mod told_once;
 mod unread;
 mod watch;
 
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -8,7 +8,7 @@
 use super::{
     datagrams::send,
     fetch::fetch,
-    lending, limits,
+    lending, limit_gossip,
     message::{DATAGRAM_MAX, Hello, Message},
     quarantine, relay,
     state::Gateway,
@@ -30,7 +30,7 @@
     task::spawn_local(send_hellos(gateway.clone(), socket.clone()));
     task::spawn_local(relay::tell(gateway.clone(), socket.clone()));
     task::spawn_local(suspects::tell(gateway.clone(), socket.clone()));
-    task::spawn_local(limits::tell(gateway.clone(), socket.clone()));
+    task::spawn_local(limit_gossip::run(gateway.clone(), socket.clone()));
     task::spawn_local(lending::ask(gateway.clone(), socket.clone()));
     let mut lag = Lag::default();
     let mut buffer = vec![0; DATAGRAM_MAX * 2];
@@ -50,14 +50,14 @@
                 relay::paced(&gateway, &socket, pace, from_sidecar);
             }
             Ok(Message::Suspected(all)) => quarantine::told(&gateway, &all, &from.to_string()),
-            Ok(Message::Limits(all)) => limits::told(&gateway, &all),
+            Ok(Message::Limits(all)) => limit_gossip::receive(&gateway, &all),
             Ok(Message::Borrow(borrow)) => lending::borrowed(&gateway, &socket, borrow, from),
             Ok(Message::Lent(lent)) => lending::lent(&gateway, lent),
             Ok(
                 Message::Greeting(_) | Message::Poll(_) | Message::Rank(_) | Message::Section(_),
             )
             | Err(_) => {
-                gateway.tally.count("datagrams_ignored_total", "unexpected");
+                gateway.metrics.count("datagrams_ignored_total", "unexpected");
             }
         }
     }
@@ -76,7 +76,7 @@
         );
         known.into_iter().for_each(|named| gateways.record_mention(named, now));
     }
-    gateway.heard_config.set(gateway.heard_config.get().max(Some(hello.config)));
+    gateway.peer_config.set(gateway.peer_config.get().max(Some(hello.config)));
     if asks {
         let addr = gateway.internal_addr(from);
         // An answer asks nothing: two that know no other of their halls would answer each
@@ -85,7 +85,7 @@
         if let Ok(bytes) = postcard::to_stdvec(&Message::Hello(hello)) {
             send(gateway, socket, addr, &bytes);
         }
-        limits::tell_new(gateway, socket, from);
+        limit_gossip::send_all_to(gateway, socket, from);
     }
     let own = Versions {
         config: gateway.version(),
@@ -93,7 +93,7 @@
     };
     let other = Versions { config: hello.config, directory: hello.directory };
     // What the store does not bring here has nothing to wait for.
-    let at_once = !gateway.is_ready() || !*gateway.watches.borrow();
+    let at_once = !gateway.is_ready() || !*gateway.is_watcher.borrow();
     if lag.is_fetch_due(own, other, at_once, now) {
         task::spawn_local(fetch(gateway.clone(), from));
     }
@@ -110,7 +110,7 @@
         directory: gateway.fleet.borrow().directory().revision,
         leaving: gateway.stopping.get(),
         asks: gateways.is_isolated(now),
-        follows: !gateway.speaks.get(),
+        follows: !gateway.is_relay.get(),
         in_hall: gateways.hall_size(now),
         in_all: gateways.max_known(),
         known: gateways.known_peers(now),
@@ -148,11 +148,11 @@
     };
     let gateways = gateway.gateways.borrow();
     let (speaks, watches) = (gateways.is_relay(is_seed, now), gateways.is_watcher(is_seed, now));
-    let spoke = gateway.speaks.replace(speaks);
+    let spoke = gateway.is_relay.replace(speaks);
     if spoke != speaks {
         gateway.fleet.borrow_mut().set_receiving(speaks.then_some(now));
     }
-    let watched = gateway.watches.send_if_modified(|before| {
+    let watched = gateway.is_watcher.send_if_modified(|before| {
         let changed = *before != watches;
         *before = watches;
         changed
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -41,10 +41,10 @@
 /// store; where two gateways proved one end each, neither did, so those who watch the store
 /// do, too.
 pub fn begun(gateway: &Rc<Gateway>, request: Fingerprint, from: &str) {
-    gateway.tally.count("requests_quarantined_total", "first");
+    gateway.metrics.count("requests_quarantined_total", "first");
     info!(gateway.log, "request quarantined"; "fingerprint" => %request, "from" => from);
     let is_stored = from == STORE;
-    if !is_stored && (from == OWN || *gateway.watches.borrow()) {
+    if !is_stored && (from == OWN || *gateway.is_watcher.borrow()) {
         task::spawn_local(write(gateway.clone(), request));
     }
 }
@@ -59,7 +59,7 @@
             // Another gateway was first.
             Ok(()) | Err(StoreError::Conflict) => return,
             Err(error) => {
-                gateway.tally.count("store_errors_total", "quarantine");
+                gateway.metrics.count("store_errors_total", "quarantine");
                 warn!(gateway.log, "quarantine not written"; "fingerprint" => %request, "error" => %error);
             }
         }
@@ -83,7 +83,7 @@
                 pause = QUARANTINE_DURATION;
             }
             Err(error) => {
-                gateway.tally.count("store_errors_total", "quarantine");
+                gateway.metrics.count("store_errors_total", "quarantine");
                 warn!(gateway.log, "quarantine not read"; "error" => %error);
                 pause = (pause * 2).min(RETRY_LAST);
             }
@@ -123,7 +123,7 @@
     }
     let suspected: Vec<SuspectReport> = young.into_iter().map(|stored| stored.suspected).collect();
     told(gateway, &suspected, STORE);
-    gateway.caught_up.set(true);
+    gateway.has_quarantines.set(true);
     let requests = suspected.iter().map(|suspected| suspected.request).collect();
     for stored in lapsed {
         // One that another gateway has cleared or written again is none of ours.
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -10,7 +10,7 @@
     datagrams::send,
     fetch,
     message::{Greeting, LOADS_SENT, LeadSeen, Load, Loads, Message, Pace, Report},
-    said::{log_leaves, log_limit},
+    server_notices::{log_leaving, log_limit_change},
     state::Gateway,
 };
 use mastweir_core::{
@@ -42,7 +42,7 @@
     loop {
         round = round.wrapping_add(1);
         tell_once(&gateway, &socket);
-        if gateway.speaks.get() && round.is_multiple_of(GREETING_ROUNDS) {
+        if gateway.is_relay.get() && round.is_multiple_of(GREETING_ROUNDS) {
             greet(&gateway, &socket);
         }
         time::sleep(TELL_EVERY).await;
@@ -53,7 +53,7 @@
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
     let followers: Vec<IpAddr> = gateways.followers().collect();
-    let far = if gateway.speaks.get() { gateways.remote_relays(now) } else { Vec::new() };
+    let far = if gateway.is_relay.get() { gateways.remote_relays(now) } else { Vec::new() };
     drop(gateways);
     let hall = gateway.settings.borrow().hall.clone();
     if !followers.is_empty() {
@@ -113,8 +113,8 @@
 }
 
 fn leads(gateway: &Gateway, now: Uptime) -> Vec<LeadSeen> {
-    gateway.leads.borrow_mut().retain(|_, (_, at)| now.since(*at) < LEAD_LASTS);
-    let names: Vec<String> = gateway.leads.borrow().keys().cloned().collect();
+    gateway.coordinators.borrow_mut().retain(|_, (_, at)| now.since(*at) < LEAD_LASTS);
+    let names: Vec<String> = gateway.coordinators.borrow().keys().cloned().collect();
     let mut leads: Vec<LeadSeen> =
         names.iter().filter_map(|group| fetch::lead(gateway, group)).collect();
     leads.sort_by_key(|lead| lead.age_ms);
@@ -153,7 +153,7 @@
     let mut fleet = gateway.fleet.borrow_mut();
     let Some(id) = fleet.id_at(report.server).map(str::to_owned) else { return };
     log_news(gateway, &id, fleet.record_report(&id, report.told, now), "sidecar");
-    gateway.news.notify_waiters();
+    gateway.server_changes.notify_waiters();
 }
 
 /// Takes in what another gateway tells of servers.
@@ -169,22 +169,22 @@
         let news = fleet.record_forwarded(&id, LoadReport { group, ..told }, age, now);
         log_news(gateway, &id, news, "gateway");
     }
-    gateway.news.notify_waiters();
+    gateway.server_changes.notify_waiters();
 }
 
 fn log_news(gateway: &Gateway, id: &str, news: ReportChanges, from: &'static str) {
     if news.leaving {
-        log_leaves(gateway, id, from);
+        log_leaving(gateway, id, from);
     }
     if let Some(change) = news.limit {
-        log_limit(gateway, id, change, from);
+        log_limit_change(gateway, id, change, from);
     }
 }
 
 /// Keeps the coordinator with the highest token, and when its last poll was heard of.
 fn heard_of(gateway: &Gateway, lead: LeadSeen, now: Uptime) {
     let at = now - Duration::from_millis(u64::from(lead.age_ms));
-    let mut leads = gateway.leads.borrow_mut();
+    let mut leads = gateway.coordinators.borrow_mut();
     let known = leads.get(&lead.group).map(|(known, _)| (known.token, known.round));
     if known.is_none_or(|known| known < (lead.token, lead.round)) {
         leads.insert(lead.group.clone(), (lead, at));
--- a/src/mastweir/gateway/said.rs
+++ b/src/mastweir/gateway/server_notices.rs
@@ -37,10 +37,10 @@
         return;
     }
     if head.leaving && gateway.fleet.borrow_mut().mark_leaving(id, *born, now) {
-        log_leaves(gateway, id, "answer");
+        log_leaving(gateway, id, "answer");
     }
     if let Some(wait) = head.retry_after {
-        gateway.tally.count("servers_backing_off_total", "asked");
+        gateway.metrics.count("servers_backing_off_total", "asked");
         gateway.fleet.borrow_mut().set_backoff(id, *born, wait, now);
     }
     // An answer to an earlier request is older than this one's span says.
@@ -56,8 +56,8 @@
         NamedLimit::At(rate) => Some(rate),
         // It is neither a limit nor the end of one.
         NamedLimit::Unreadable => {
-            gateway.tally.count("server_limits_total", "unread");
-            if gateway.unread_limits.is_first(id) {
+            gateway.metrics.count("server_limits_total", "unread");
+            if gateway.invalid_limits.is_first(id) {
                 warn!(gateway.log, "server limit not read"; "server" => id,
                     "remedy" => "it binds nobody; have the server name one decimal number");
             }
@@ -68,20 +68,20 @@
     let word = LimitReport { rate, sent: heard.asked, received: now };
     let change = gateway.fleet.borrow_mut().record_limit(id, *born, word, now);
     if let Some(change) = change {
-        log_limit(gateway, id, change, "answer");
+        log_limit_change(gateway, id, change, "answer");
     }
 }
 
 /// The line of a limit that changed.
-pub fn log_limit(gateway: &Gateway, id: &str, change: LimitChange, from: &'static str) {
+pub fn log_limit_change(gateway: &Gateway, id: &str, change: LimitChange, from: &'static str) {
     let label = if change.now.is_some() { "named" } else { "ended" };
-    gateway.tally.count("server_limits_total", label);
+    gateway.metrics.count("server_limits_total", label);
     info!(gateway.log, "server limit changed"; "server" => id, "from" => from,
         "before_per_s" => change.before.map(|rate| rate.requests()),
         "now_per_s" => change.now.map(|rate| rate.requests()));
 }
 
 /// The line of a server that says itself that it leaves, whatever the store's list says.
-pub fn log_leaves(gateway: &Gateway, id: &str, from: &'static str) {
+pub fn log_leaving(gateway: &Gateway, id: &str, from: &'static str) {
     info!(gateway.log, "server leaves"; "server" => id, "from" => from);
 }
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows, shared by its tasks on one thread.
 
 use super::{
-    loans::Lending, looks::Looks, message::LeadSeen, settings::Settings, told_once::Unread,
+    loans::Lending, log_once::Unread, message::LeadSeen, pending_probes::Looks, settings::Settings,
 };
 use crate::{
     net::http::Pool,
@@ -76,15 +76,15 @@
     /// The log.
     pub log: Logger,
     /// Counters and histograms.
-    pub tally: Tally,
+    pub metrics: Tally,
     /// The platform's store.
     pub store: Store,
     /// Tells those who follow the store that it was away.
     pub outages: Notify,
     /// Connections to servers.
-    pub servers: Pool,
+    pub server_pool: Pool,
     /// Connections to other processes of mastweir.
-    pub internal: Pool,
+    pub internal_pool: Pool,
     /// Servers.
     pub fleet: RefCell<Fleet>,
     /// Randomness of choices.
@@ -92,30 +92,30 @@
     /// The other gateways.
     pub gateways: RefCell<Peers>,
     /// Coordinators of groups, as they were heard of, and when.
-    pub leads: RefCell<HashMap<String, (LeadSeen, Uptime)>>,
+    pub coordinators: RefCell<HashMap<String, (LeadSeen, Uptime)>>,
     /// Whether this gateway speaks for its hall.
-    pub speaks: Cell<bool>,
+    pub is_relay: Cell<bool>,
     /// Whether it watches the store.
-    pub watches: watch::Sender<bool>,
+    pub is_watcher: watch::Sender<bool>,
     /// Tells requests that wait for room: something was heard of servers, or ended there.
-    pub news: Notify,
+    pub server_changes: Notify,
     /// Requests under which servers ended.
     pub suspects: RefCell<PoisonRequests>,
     /// Whether it has heard which requests are quarantined.
-    pub caught_up: Cell<bool>,
+    pub has_quarantines: Cell<bool>,
     /// The latest version of a configuration that another gateway said it has, once one was
     /// heard.
-    pub heard_config: Cell<Option<u64>>,
+    pub peer_config: Cell<Option<u64>>,
     /// Servers that broke requests off, and are looked at.
-    pub looks: Looks,
+    pub pending_probes: Looks,
     /// Servers whose limit can't be read.
-    pub unread_limits: Unread,
+    pub invalid_limits: Unread,
     /// Tokens for servers that name a limit.
     pub lending: Lending,
     /// How long callers wait.
-    pub waits: RefCell<RetryDetector>,
+    pub retry_detector: RefCell<RetryDetector>,
     /// Requests that are held.
-    pub held: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// Connections of callers.
     pub connections: Cell<usize>,
     /// Whether it was asked to stop.
@@ -134,11 +134,11 @@
         Self {
             clock: options.clock.clone(),
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
-            tally: Tally::default(),
+            metrics: Tally::default(),
             store: Store::new(settings.store, Rc::new(Pool::default())),
             outages: Notify::new(),
-            servers: Pool::default(),
-            internal: Pool::default(),
+            server_pool: Pool::default(),
+            internal_pool: Pool::default(),
             fleet: RefCell::new(Fleet::new(&settings.hall)),
             rng: RefCell::new(rng),
             gateways: RefCell::new(Peers::new(PeerInfo {
@@ -146,18 +146,18 @@
                 hall: settings.hall.clone(),
                 power: settings.power,
             })),
-            leads: RefCell::default(),
-            speaks: Cell::new(false),
-            watches: watch::Sender::new(false),
-            news: Notify::new(),
+            coordinators: RefCell::default(),
+            is_relay: Cell::new(false),
+            is_watcher: watch::Sender::new(false),
+            server_changes: Notify::new(),
             suspects: RefCell::default(),
-            caught_up: Cell::new(false),
-            heard_config: Cell::new(None),
-            looks: Looks::default(),
-            unread_limits: Unread::default(),
+            has_quarantines: Cell::new(false),
+            peer_config: Cell::new(None),
+            pending_probes: Looks::default(),
+            invalid_limits: Unread::default(),
             lending: Lending::new(settings.ip, first),
-            waits: RefCell::default(),
-            held: Cell::new(0),
+            retry_detector: RefCell::default(),
+            in_flight: Cell::new(0),
             connections: Cell::new(0),
             stopping: Cell::new(false),
             active: RefCell::default(),
@@ -182,8 +182,8 @@
         let waits = self.clock.now().since(Uptime::default()) < CATCHES_UP;
         // A store that came back from an older copy may give a version that others know to
         // be old, until its operator writes the newer one again.
-        let is_old = self.heard_config.get().is_none_or(|heard| self.version() < heard);
-        let is_behind = waits && (!self.caught_up.get() || is_old);
+        let is_old = self.peer_config.get().is_none_or(|heard| self.version() < heard);
+        let is_behind = waits && (!self.has_quarantines.get() || is_old);
         known && !is_behind && !self.stopping.get()
     }
 
@@ -200,7 +200,7 @@
 
     /// Takes a list of servers into force that was read as a whole, if it is newer. Right
     /// behind an outage of the store it may lack some that live.
-    pub fn adopt_whole(&self, directory: Directory, after_outage: bool, from: &str) {
+    pub fn adopt_complete(&self, directory: Directory, after_outage: bool, from: &str) {
         if self.adopt(directory, after_outage, from) {
             self.fleet.borrow_mut().forget_removals();
         }
@@ -208,7 +208,7 @@
 
     /// Takes a list of servers into force that changes made of the one before, if it is
     /// newer. `gone` are those that the changes name as gone.
-    pub fn adopt_changed(
+    pub fn adopt_changes(
         &self,
         directory: Directory,
         gone: &[String],
@@ -234,7 +234,7 @@
     }
 
     /// Drops servers that lapsed in an outage of the store and did not come back.
-    pub fn drop_lapsed(&self) {
+    pub fn drop_expired(&self) {
         for server in self.fleet.borrow_mut().drop_expired(self.clock.now()) {
             info!(self.log, "lapsed server dropped"; "server" => server);
         }
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -3,8 +3,8 @@
 use super::{
     attempt::{Got, Place, attempt, may_retry, stuck},
     call::{Call, Progress},
-    examine::broke_off,
-    held::Held,
+    crash_probe::broke_off,
+    in_flight::Held,
     lending::choose_by,
     state::Gateway,
 };
@@ -168,11 +168,11 @@
             _ if self.pauses.longest_gap() > Duration::from_millis(route.gap_ms) => "pause",
             _ => "no",
         };
-        self.gateway.tally.count("streams_late_total", late);
-        self.gateway.tally.observe("stream_pause_seconds", self.pauses.longest_gap());
+        self.gateway.metrics.count("streams_late_total", late);
+        self.gateway.metrics.observe("stream_pause_seconds", self.pauses.longest_gap());
         first
             .into_iter()
-            .for_each(|first| self.gateway.tally.observe("first_event_seconds", first));
+            .for_each(|first| self.gateway.metrics.observe("first_event_seconds", first));
         let slowest = self.slowest.as_ref();
         info!(self.gateway.log, "stream pace"; "id" => &self.call.head.id, "late" => late,
             "end" => end, "route" => &route.name,
@@ -189,12 +189,12 @@
 
     fn finish(&mut self) -> Piece {
         let Some(source) = self.source.take() else { return Piece::Cut };
-        self.gateway.servers.give_back(source.exchange, source.keep);
+        self.gateway.server_pool.give_back(source.exchange, source.keep);
         let took = self.call.age();
         self.call.finished(&self.gateway);
-        self.gateway.tally.count("streams_total", "complete");
+        self.gateway.metrics.count("streams_total", "complete");
         self.log_pace("complete");
-        self.gateway.tally.observe("stream_seconds", took);
+        self.gateway.metrics.observe("stream_seconds", took);
         info!(self.gateway.log, "stream complete"; "id" => &self.call.head.id,
             "took_ms" => took.as_millis() as u64, "resumed" => self.resumed);
         Piece::End
@@ -202,7 +202,7 @@
 
     fn cut(&mut self, reason: &'static str) -> Piece {
         self.source = None;
-        self.gateway.tally.count("streams_total", "cut");
+        self.gateway.metrics.count("streams_total", "cut");
         self.log_pace("cut");
         info!(self.gateway.log, "stream cut"; "id" => &self.call.head.id, "reason" => reason,
             "last_event" => self.events.last_id(), "tried" => self.progress.tried.join(","),
--- a/src/mastweir/gateway/suspects.rs
+++ b/src/mastweir/gateway/suspects.rs
@@ -35,7 +35,7 @@
     let now = gateway.clock.now();
     let suspects = gateway.suspects.borrow();
     let mut told = suspects.recent_reports(now);
-    if with_quarantined && gateway.speaks.get() {
+    if with_quarantined && gateway.is_relay.get() {
         told.extend(suspects.quarantined_reports(SUSPECTED_SENT, now));
     }
     drop(suspects);
@@ -56,7 +56,7 @@
     let settings = gateway.settings.borrow();
     let gateways = gateway.gateways.borrow();
     let mut hearers = gateways.relays(&settings.hall, now);
-    if gateway.speaks.get() {
+    if gateway.is_relay.get() {
         hearers.extend(gateways.followers());
         hearers.extend(gateways.remote_relays(now));
     }
--- a/src/mastweir/gateway/unread.rs
+++ b/src/mastweir/gateway/unread.rs
@@ -17,7 +17,7 @@
 impl Noted {
     /// Counts one, and says so unless that revision of it was told.
     pub fn note(&self, gateway: &Gateway, kind: &'static str, unread: &Unread) {
-        gateway.tally.count("objects_unread_total", kind);
+        gateway.metrics.count("objects_unread_total", kind);
         let Unread { name, revision, reason } = unread;
         let mut told = self.0.borrow_mut();
         let is_known = told.get(name).is_some_and(|known| known == revision);
--- a/src/mastweir/gateway/watch.rs
+++ b/src/mastweir/gateway/watch.rs
@@ -25,7 +25,7 @@
 pub async fn config(gateway: Rc<Gateway>) {
     while_watching(&gateway, async || {
         let source = Configs { gateway: &gateway, noted: Noted::default() };
-        follow(&source, &gateway.outages, &gateway.log, &gateway.tally).await;
+        follow(&source, &gateway.outages, &gateway.log, &gateway.metrics).await;
     })
     .await;
 }
@@ -35,7 +35,7 @@
     while_watching(&gateway, async || {
         let source =
             Servers { gateway: &gateway, listed: RefCell::default(), noted: Noted::default() };
-        follow(&source, &gateway.outages, &gateway.log, &gateway.tally).await;
+        follow(&source, &gateway.outages, &gateway.log, &gateway.metrics).await;
     })
     .await;
 }
@@ -48,7 +48,7 @@
 /// What others fetch from it, a gateway that does not watch fetches from others: a hall
 /// of thirty costs the store as much as one of two.
 async fn while_watching(gateway: &Gateway, follow: impl AsyncFn()) {
-    let mut watches = gateway.watches.subscribe();
+    let mut watches = gateway.is_watcher.subscribe();
     loop {
         // The sender is the gateway's own.
         let _ = watches.wait_for(|watches| *watches).await;
@@ -132,7 +132,7 @@
         let servers = items.into_iter().map(|server| (server.id.clone(), server)).collect();
         let directory = Directory { revision, servers, ..Directory::default() };
         *self.listed.borrow_mut() = directory.clone();
-        self.gateway.adopt_whole(directory, self.may_lapse(away), "store");
+        self.gateway.adopt_complete(directory, self.may_lapse(away), "store");
         Ok(revision)
     }
 
@@ -161,7 +161,7 @@
                 }
             };
         }
-        self.gateway.adopt_changed(listed.clone(), &went, self.may_lapse(away), "store");
+        self.gateway.adopt_changes(listed.clone(), &went, self.may_lapse(away), "store");
     }
 
     async fn probe(&self, since: Revision) -> Result<bool, StoreError> {
