--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -2,7 +2,7 @@
 //! of a group.
 
 use super::{
-    message::{GroupView, LeadSeen},
+    message::{CoordinatorSeen, GroupView},
     quarantine,
     state::Gateway,
 };
@@ -113,9 +113,9 @@
 }
 
 /// A group's coordinator, if one was heard of, with its age now.
-pub fn lead(gateway: &Gateway, group: &str) -> Option<LeadSeen> {
+pub fn lead(gateway: &Gateway, group: &str) -> Option<CoordinatorSeen> {
     let leads = gateway.coordinators.borrow();
     let (seen, at) = leads.get(group)?;
     let age = gateway.clock.now().since(*at).as_millis();
-    Some(LeadSeen { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..seen.clone() })
+    Some(CoordinatorSeen { age_ms: u32::try_from(age).unwrap_or(u32::MAX), ..seen.clone() })
 }
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -4,7 +4,7 @@
 
 use super::{
     datagrams::send,
-    message::{Borrow, Lent, LentFor, Message},
+    message::{GrantPermits, Message, RequestPermits, ServerGrant},
     state::Gateway,
 };
 use mastweir_core::{
@@ -68,11 +68,13 @@
     for PermitRequest { issuer: lender, number, wanted: wants } in asks {
         if lender == own {
             let loans = wants.into_iter().map(|(server, count)| lend(gateway, server, count, own));
-            lent(gateway, Lent { number, loans: loans.collect() });
+            lent(gateway, GrantPermits { number, loans: loans.collect() });
             continue;
         }
         // What can't be encoded can't be sent; no message is of that kind.
-        if let Ok(bytes) = postcard::to_stdvec(&Message::Borrow(Borrow { number, wants })) {
+        if let Ok(bytes) =
+            postcard::to_stdvec(&Message::RequestPermits(RequestPermits { number, wants }))
+        {
             send(gateway, socket, gateway.internal_addr(lender), &bytes);
         }
     }
@@ -90,7 +92,7 @@
 }
 
 /// Lends tokens for a server.
-fn lend(gateway: &Gateway, server: String, wanted: u32, to: IpAddr) -> LentFor {
+fn lend(gateway: &Gateway, server: String, wanted: u32, to: IpAddr) -> ServerGrant {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
     let hall = fleet.directory().servers.get(&server).map_or("", |server| server.hall.as_str());
@@ -106,21 +108,21 @@
     } else {
         gateway.metrics.count("tokens_total", "none");
     }
-    LentFor { server, count, wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) }
+    ServerGrant { server, count, wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) }
 }
 
 /// Another gateway asks.
-pub fn borrowed(gateway: &Gateway, socket: &UdpSocket, borrow: Borrow, from: IpAddr) {
-    let Borrow { number, wants } = borrow;
+pub fn borrowed(gateway: &Gateway, socket: &UdpSocket, borrow: RequestPermits, from: IpAddr) {
+    let RequestPermits { number, wants } = borrow;
     let loans =
         wants.into_iter().map(|(server, count)| lend(gateway, server, count, from)).collect();
-    if let Ok(bytes) = postcard::to_stdvec(&Message::Lent(Lent { number, loans })) {
+    if let Ok(bytes) = postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, loans })) {
         send(gateway, socket, gateway.internal_addr(from), &bytes);
     }
 }
 
 /// The answer of one that was asked.
-pub fn lent(gateway: &Gateway, lent: Lent) {
+pub fn lent(gateway: &Gateway, lent: GrantPermits) {
     let now = gateway.clock.now();
     let asked = gateway.lending.borrower.borrow_mut().accept_answer(lent.number, now);
     match asked {
@@ -129,10 +131,10 @@
     }
 }
 
-fn take(gateway: &Gateway, loans: Vec<LentFor>, asked: Uptime) {
+fn take(gateway: &Gateway, loans: Vec<ServerGrant>, asked: Uptime) {
     let now = gateway.clock.now();
     let mut fleet = gateway.fleet.borrow_mut();
-    for LentFor { server, count, wait_ms } in loans {
+    for ServerGrant { server, count, wait_ms } in loans {
         if count > 0 {
             fleet.add_permits(&server, count, asked + PERMIT_LIFETIME);
         } else {
--- a/src/mastweir/gateway/limit_gossip.rs
+++ b/src/mastweir/gateway/limit_gossip.rs
@@ -7,7 +7,7 @@
 
 use super::{
     lending,
-    message::{LIMITS_SENT, Message},
+    message::{LIMITS_PER_DATAGRAM, Message},
     relay::send_all,
     server_notices::log_limit_change,
     state::Gateway,
@@ -40,9 +40,9 @@
     let mut told = gateway.fleet.borrow().limits_to_send(false, now);
     if gateway.is_relay.get() && round.is_multiple_of(REPEAT_ROUNDS) {
         let all = gateway.fleet.borrow().limits_to_send(true, now);
-        let chunks = all.len().div_ceil(LIMITS_SENT).max(1);
+        let chunks = all.len().div_ceil(LIMITS_PER_DATAGRAM).max(1);
         let turn = (round / REPEAT_ROUNDS) as usize % chunks;
-        told.extend(all.into_iter().skip(turn * LIMITS_SENT).take(LIMITS_SENT));
+        told.extend(all.into_iter().skip(turn * LIMITS_PER_DATAGRAM).take(LIMITS_PER_DATAGRAM));
     }
     if !told.is_empty() {
         send(gateway, socket, &hearers(gateway), &told);
@@ -59,7 +59,7 @@
     // What can't be encoded can't be told; no message is of that kind.
     let message =
         |chunk: &[LimitUpdate]| postcard::to_stdvec(&Message::Limits(chunk.to_vec())).ok();
-    let messages: Vec<Vec<u8>> = told.chunks(LIMITS_SENT).filter_map(message).collect();
+    let messages: Vec<Vec<u8>> = told.chunks(LIMITS_PER_DATAGRAM).filter_map(message).collect();
     send_all(gateway, socket, to, &messages);
 }
 
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -20,15 +20,15 @@
 /// Largest datagram that is sent: below the usual path limit.
 pub const DATAGRAM_MAX: usize = 1_400;
 /// Counts in one datagram: they take one to three bytes each, beside a rank's state.
-pub const COUNTS_SENT: usize = 400;
+pub const COUNTS_PER_DATAGRAM: usize = 400;
 /// Servers' loads in one datagram: some 33 bytes each, 43 with the largest limit.
-pub const LOADS_SENT: usize = 31;
+pub const LOADS_PER_DATAGRAM: usize = 31;
 /// Limits in one datagram: some 30 bytes each, beside long names of servers.
-pub const LIMITS_SENT: usize = 24;
+pub const LIMITS_PER_DATAGRAM: usize = 24;
 /// Requests that servers ended under in one datagram: some 80 bytes each at most.
-pub const SUSPECTED_SENT: usize = 16;
+pub const SUSPECTS_PER_DATAGRAM: usize = 16;
 /// Ranks' states in one datagram: some 50 bytes each.
-pub const RANKS_SENT: usize = 20;
+pub const RANKS_PER_DATAGRAM: usize = 20;
 
 /// What processes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,9 +36,9 @@
     /// A gateway to gateways.
     Hello(Hello),
     /// A speaker to sidecars.
-    Greeting(Greeting),
+    RelayHello(RelayHello),
     /// A sidecar to its hall's speakers.
-    Report(Report),
+    Report(ServerReport),
     /// A speaker to gateways.
     Loads(Loads),
     /// A coordinator to the heads of its group, and they to their sections.
@@ -46,23 +46,23 @@
     /// A sidecar to the head of its section, or to its coordinator.
     Rank(RankReport),
     /// A head to its coordinator.
-    Section(SectionReport),
+    Subtree(SubtreeReport),
     /// A coordinator to its hall's speakers, and they to gateways.
-    Pace(Pace),
+    Forecast(PassForecast),
     /// A gateway to its hall's speakers, and they to gateways: requests under which servers
     /// ended.
-    Suspected(Vec<SuspectReport>),
+    Suspects(Vec<SuspectReport>),
     /// A gateway to its hall's speakers, and they to gateways: what servers name as limits.
     Limits(Vec<LimitUpdate>),
     /// A gateway to one that lends.
-    Borrow(Borrow),
+    RequestPermits(RequestPermits),
     /// Its answer.
-    Lent(Lent),
+    GrantPermits(GrantPermits),
 }
 
 /// A gateway wants to send requests to servers that name limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Borrow {
+pub struct RequestPermits {
     /// Tells its answer from others, also those to the process before.
     pub number: u64,
     /// Servers, and how many tokens are wanted.
@@ -71,16 +71,16 @@
 
 /// What is lent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct GrantPermits {
     /// Number of the message that asked for it.
     pub number: u64,
     /// By server.
-    pub loans: Vec<LentFor>,
+    pub loans: Vec<ServerGrant>,
 }
 
 /// What is lent for a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LentFor {
+pub struct ServerGrant {
     /// The server.
     pub server: String,
     /// Tokens.
@@ -116,16 +116,16 @@
 
 /// A speaker is here: a sidecar reports to it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct RelayHello {
     /// The server's engine.
     pub model: Option<Model>,
     /// The coordinator of its group, if one was heard of.
-    pub lead: Option<LeadSeen>,
+    pub lead: Option<CoordinatorSeen>,
 }
 
 /// A group's coordinator, as it was heard of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeadSeen {
+pub struct CoordinatorSeen {
     /// Its group.
     pub group: String,
     /// Its token.
@@ -142,13 +142,13 @@
 
 /// A server's load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct ServerReport {
     /// Where the server listens.
     pub server: SocketAddr,
     /// What its sidecar saw.
     pub told: LoadReport,
     /// The coordinator that it heard last.
-    pub lead: Option<LeadSeen>,
+    pub lead: Option<CoordinatorSeen>,
 }
 
 /// Loads of many servers, each with its age.
@@ -157,14 +157,14 @@
     /// Names of groups; the loads give the place in this list.
     pub groups: Vec<String>,
     /// The loads.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ServerLoad>,
     /// Coordinators of groups.
-    pub leads: Vec<LeadSeen>,
+    pub leads: Vec<CoordinatorSeen>,
 }
 
 /// A server's load, as a speaker tells it on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Where the server listens.
     pub server: SocketAddr,
     /// Milliseconds since its sidecar told it.
@@ -177,7 +177,7 @@
 
 /// How long a group's passes are expected to be: sooner known than seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pace {
+pub struct PassForecast {
     /// The group.
     pub group: String,
     /// Which of its coordinators' words this is: token, and number of the word, which
@@ -209,7 +209,7 @@
 
 /// A rank, as its sidecar sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RankBrief {
+pub struct RankStatus {
     /// Where its server listens.
     pub server: SocketAddr,
     /// Its state.
@@ -233,7 +233,7 @@
     /// Number of the poll.
     pub round: u64,
     /// Its rank; in the first of the datagrams that answer one poll.
-    pub rank: Option<RankBrief>,
+    pub rank: Option<RankStatus>,
     /// What was chosen.
     pub counts: Counts,
 }
@@ -252,13 +252,13 @@
 
 /// A head's answer to a poll: the ranks that answered it, and the sum of their counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SectionReport {
+pub struct SubtreeReport {
     /// Its group.
     pub group: String,
     /// Number of the poll.
     pub round: u64,
     /// The ranks, in parts where they do not fit into one datagram.
-    pub ranks: Vec<RankBrief>,
+    pub ranks: Vec<RankStatus>,
     /// The sums.
     pub counts: Counts,
 }
@@ -269,12 +269,12 @@
     /// Where they listen, and in which hall.
     pub servers: Vec<(SocketAddr, String)>,
     /// Its coordinator, if one was heard of.
-    pub lead: Option<LeadSeen>,
+    pub lead: Option<CoordinatorSeen>,
 }
 
 /// What a rank is to do; what a load brings stands beside the orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Brief {
+pub enum BatchOrderKind {
     /// Load the map.
     Load,
     /// Use a loaded map from a pass on.
@@ -293,7 +293,7 @@
 
 /// An order on its way to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Directed {
+pub struct BatchOrder {
     /// Where the server listens.
     pub server: SocketAddr,
     /// Token of the coordinator.
@@ -303,16 +303,16 @@
     /// Life of the group.
     pub epoch: u64,
     /// What to do.
-    pub brief: Brief,
+    pub brief: BatchOrderKind,
 }
 
 /// Orders for a section, passed on by its head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Batch {
+pub struct OrderBatch {
     /// The map that is to be loaded, if one is.
     pub map: Option<MapDelta>,
     /// The orders.
-    pub orders: Vec<Directed>,
+    pub orders: Vec<BatchOrder>,
 }
 
 /// What a sidecar answers to an order.
@@ -331,4 +331,4 @@
 }
 
 /// What became of a batch, by server.
-pub type Carried = Vec<(SocketAddr, OrderReply)>;
+pub type BatchReplies = Vec<(SocketAddr, OrderReply)>;
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -45,16 +45,18 @@
             Ok(Message::Hello(hello)) => heard(&gateway, &socket, hello, from, &mut lag),
             Ok(Message::Report(report)) => relay::reported(&gateway, report),
             Ok(Message::Loads(loads)) => relay::told(&gateway, loads),
-            Ok(Message::Pace(pace)) => {
+            Ok(Message::Forecast(pace)) => {
                 let from_sidecar = !gateway.gateways.borrow().contains(from);
                 relay::paced(&gateway, &socket, pace, from_sidecar);
             }
-            Ok(Message::Suspected(all)) => quarantine::told(&gateway, &all, &from.to_string()),
+            Ok(Message::Suspects(all)) => quarantine::told(&gateway, &all, &from.to_string()),
             Ok(Message::Limits(all)) => limit_gossip::receive(&gateway, &all),
-            Ok(Message::Borrow(borrow)) => lending::borrowed(&gateway, &socket, borrow, from),
-            Ok(Message::Lent(lent)) => lending::lent(&gateway, lent),
+            Ok(Message::RequestPermits(borrow)) => {
+                lending::borrowed(&gateway, &socket, borrow, from);
+            }
+            Ok(Message::GrantPermits(lent)) => lending::lent(&gateway, lent),
             Ok(
-                Message::Greeting(_) | Message::Poll(_) | Message::Rank(_) | Message::Section(_),
+                Message::RelayHello(_) | Message::Poll(_) | Message::Rank(_) | Message::Subtree(_),
             )
             | Err(_) => {
                 gateway.metrics.count("datagrams_ignored_total", "unexpected");
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -9,7 +9,10 @@
 use super::{
     datagrams::send,
     fetch,
-    message::{Greeting, LOADS_SENT, LeadSeen, Load, Loads, Message, Pace, Report},
+    message::{
+        CoordinatorSeen, LOADS_PER_DATAGRAM, Loads, Message, PassForecast, RelayHello, ServerLoad,
+        ServerReport,
+    },
     server_notices::{log_leaving, log_limit_change},
     state::Gateway,
 };
@@ -82,7 +85,7 @@
         .map(|(server, age, told)| (server.addr, age, told))
         .collect();
     let mut leads = leads(gateway, now);
-    let mut chunks: Vec<Loads> = fitting.chunks(LOADS_SENT).map(chunk).collect();
+    let mut chunks: Vec<Loads> = fitting.chunks(LOADS_PER_DATAGRAM).map(chunk).collect();
     if chunks.is_empty() {
         chunks.push(Loads::default());
     }
@@ -106,16 +109,21 @@
             u8::try_from(at).ok()
         });
         let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-        Load { server: *server, age_ms, group, told: LoadReport { group: None, ..(*told).clone() } }
+        ServerLoad {
+            server: *server,
+            age_ms,
+            group,
+            told: LoadReport { group: None, ..(*told).clone() },
+        }
     };
     let loads = loads.iter().map(load).collect();
     Loads { groups, loads, leads: Vec::new() }
 }
 
-fn leads(gateway: &Gateway, now: Uptime) -> Vec<LeadSeen> {
+fn leads(gateway: &Gateway, now: Uptime) -> Vec<CoordinatorSeen> {
     gateway.coordinators.borrow_mut().retain(|_, (_, at)| now.since(*at) < LEAD_LASTS);
     let names: Vec<String> = gateway.coordinators.borrow().keys().cloned().collect();
-    let mut leads: Vec<LeadSeen> =
+    let mut leads: Vec<CoordinatorSeen> =
         names.iter().filter_map(|group| fetch::lead(gateway, group)).collect();
     leads.sort_by_key(|lead| lead.age_ms);
     leads.truncate(LEADS_SENT);
@@ -140,14 +148,14 @@
         }
         let group = fleet.last_report(&server.id).and_then(|told| told.group.clone());
         let lead = group.and_then(|group| fetch::lead(gateway, &group));
-        let greeting = Message::Greeting(Greeting { model: Some(model), lead });
+        let greeting = Message::RelayHello(RelayHello { model: Some(model), lead });
         let Ok(bytes) = postcard::to_stdvec(&greeting) else { continue };
         send(gateway, socket, gateway.internal_addr(server.addr.ip()), &bytes);
     }
 }
 
 /// Takes a sidecar's report in.
-pub fn reported(gateway: &Gateway, report: Report) {
+pub fn reported(gateway: &Gateway, report: ServerReport) {
     let now = gateway.clock.now();
     report.lead.into_iter().for_each(|lead| heard_of(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
@@ -162,7 +170,7 @@
     let Loads { groups, loads, leads } = loads;
     leads.into_iter().for_each(|lead| heard_of(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
-    for Load { server, age_ms, group, told } in loads {
+    for ServerLoad { server, age_ms, group, told } in loads {
         let Some(id) = fleet.id_at(server).map(str::to_owned) else { continue };
         let group = group.and_then(|at| groups.get(usize::from(at)).cloned());
         let age = Duration::from_millis(u64::from(age_ms));
@@ -182,7 +190,7 @@
 }
 
 /// Keeps the coordinator with the highest token, and when its last poll was heard of.
-fn heard_of(gateway: &Gateway, lead: LeadSeen, now: Uptime) {
+fn heard_of(gateway: &Gateway, lead: CoordinatorSeen, now: Uptime) {
     let at = now - Duration::from_millis(u64::from(lead.age_ms));
     let mut leads = gateway.coordinators.borrow_mut();
     let known = leads.get(&lead.group).map(|(known, _)| (known.token, known.round));
@@ -196,9 +204,9 @@
 /// one word went round among speakers that were leaving and those that took their place,
 /// more often each time: a gateway with a link of 40 Mbit/s opened no connection for three
 /// seconds (83 tries, a simulated day).
-pub fn paced(gateway: &Gateway, socket: &UdpSocket, pace: Pace, from_sidecar: bool) {
+pub fn paced(gateway: &Gateway, socket: &UdpSocket, pace: PassForecast, from_sidecar: bool) {
     let now = gateway.clock.now();
-    let Pace { group, word, pass_ms } = &pace;
+    let PassForecast { group, word, pass_ms } = &pace;
     if !gateway.fleet.borrow_mut().record_forecast(group, *word, *pass_ms, now) {
         return;
     }
@@ -206,6 +214,6 @@
     let far = if from_sidecar { gateways.remote_relays(now) } else { Vec::new() };
     let to: Vec<IpAddr> = gateways.followers().chain(far).collect();
     drop(gateways);
-    let Ok(bytes) = postcard::to_stdvec(&Message::Pace(pace)) else { return };
+    let Ok(bytes) = postcard::to_stdvec(&Message::Forecast(pace)) else { return };
     send_all(gateway, socket, &to, &[bytes]);
 }
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -1,7 +1,8 @@
 //! What a gateway knows, shared by its tasks on one thread.
 
 use super::{
-    loans::Lending, log_once::Unread, message::LeadSeen, pending_probes::Looks, settings::Settings,
+    loans::Lending, log_once::Unread, message::CoordinatorSeen, pending_probes::Looks,
+    settings::Settings,
 };
 use crate::{
     net::http::Pool,
@@ -92,7 +93,7 @@
     /// The other gateways.
     pub gateways: RefCell<Peers>,
     /// Coordinators of groups, as they were heard of, and when.
-    pub coordinators: RefCell<HashMap<String, (LeadSeen, Uptime)>>,
+    pub coordinators: RefCell<HashMap<String, (CoordinatorSeen, Uptime)>>,
     /// Whether this gateway speaks for its hall.
     pub is_relay: Cell<bool>,
     /// Whether it watches the store.
--- a/src/mastweir/gateway/suspects.rs
+++ b/src/mastweir/gateway/suspects.rs
@@ -6,7 +6,7 @@
 //! started.
 
 use super::{
-    message::{Message, SUSPECTED_SENT},
+    message::{Message, SUSPECTS_PER_DATAGRAM},
     relay::send_all,
     state::Gateway,
 };
@@ -36,16 +36,16 @@
     let suspects = gateway.suspects.borrow();
     let mut told = suspects.recent_reports(now);
     if with_quarantined && gateway.is_relay.get() {
-        told.extend(suspects.quarantined_reports(SUSPECTED_SENT, now));
+        told.extend(suspects.quarantined_reports(SUSPECTS_PER_DATAGRAM, now));
     }
     drop(suspects);
     if told.is_empty() {
         return;
     }
     let messages: Vec<Vec<u8>> = told
-        .chunks(SUSPECTED_SENT)
+        .chunks(SUSPECTS_PER_DATAGRAM)
         // What can't be encoded can't be told; no message is of that kind.
-        .filter_map(|chunk| postcard::to_stdvec(&Message::Suspected(chunk.to_vec())).ok())
+        .filter_map(|chunk| postcard::to_stdvec(&Message::Suspects(chunk.to_vec())).ok())
         .collect();
     send_all(gateway, socket, &hearers(gateway), &messages);
 }
--- a/src/mastweir/sidecar/answers.rs
+++ b/src/mastweir/sidecar/answers.rs
@@ -1,7 +1,7 @@
 //! What answers a poll: the counts since an earlier one, and a section's ranks together.
 
 use crate::{
-    gateway::message::{Counts, Poll, RankBrief, RankReport},
+    gateway::message::{Counts, Poll, RankReport, RankStatus},
     platform::engine::Choices,
 };
 use std::{
@@ -63,7 +63,7 @@
     pub poll: Poll,
     waiting: HashSet<IpAddr>,
     /// The ranks that have answered.
-    pub ranks: Vec<RankBrief>,
+    pub ranks: Vec<RankStatus>,
     /// The sum of what they counted.
     pub sums: Vec<u32>,
 }
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/carry.rs
@@ -2,7 +2,7 @@
 
 use super::state::Sidecar;
 use crate::{
-    gateway::message::{Batch, Brief, Carried, Directed, OrderReply},
+    gateway::message::{BatchOrder, BatchOrderKind, BatchReplies, OrderBatch, OrderReply},
     net::internal,
     platform::engine::{Engine, EngineError},
 };
@@ -27,7 +27,7 @@
 pub async fn answer(sidecar: &Sidecar, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     match path {
         "/orders" => {
-            let batch: Batch = postcard::from_bytes(body).ok()?;
+            let batch: OrderBatch = postcard::from_bytes(body).ok()?;
             postcard::to_stdvec(&carry_all(sidecar, batch).await).ok()
         }
         "/state" => {
@@ -49,8 +49,8 @@
 }
 
 /// Carries out the order for the server beside, and passes the others on.
-async fn carry_all(sidecar: &Sidecar, batch: Batch) -> Carried {
-    let Batch { map, orders } = batch;
+async fn carry_all(sidecar: &Sidecar, batch: OrderBatch) -> BatchReplies {
+    let OrderBatch { map, orders } = batch;
     let carried = orders.into_iter().map(async |order| {
         let server = order.server;
         let reply = if server == sidecar.server {
@@ -63,24 +63,24 @@
     join_all(carried).await
 }
 
-async fn pass_on(sidecar: &Sidecar, order: Directed, map: Option<&MapDelta>) -> OrderReply {
+async fn pass_on(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
     let server = order.server;
-    let batch = Batch { map: map.cloned(), orders: vec![order] };
+    let batch = OrderBatch { map: map.cloned(), orders: vec![order] };
     let addr = sidecar.addr(server.ip());
     let call = internal::call(&sidecar.internal, addr, "/orders", &batch, PASSED_ON_LASTS);
-    let carried: Result<Carried, _> = call.await;
+    let carried: Result<BatchReplies, _> = call.await;
     let replies = carried.unwrap_or_else(|error| {
         warn!(sidecar.log, "order not passed on"; "server" => %server, "error" => %error);
-        Carried::new()
+        BatchReplies::new()
     });
     replies.into_iter().next().map(|(_, reply)| reply).unwrap_or_default()
 }
 
-async fn carry_own(sidecar: &Sidecar, order: Directed, map: Option<&MapDelta>) -> OrderReply {
+async fn carry_own(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
     let kind = match order.brief {
-        Brief::Schedule { version, pass } => OrderKind::Schedule { version, pass },
-        Brief::Cancel { version } => OrderKind::Cancel { version },
-        Brief::Load => {
+        BatchOrderKind::Schedule { version, pass } => OrderKind::Schedule { version, pass },
+        BatchOrderKind::Cancel { version } => OrderKind::Cancel { version },
+        BatchOrderKind::Load => {
             if map.is_some_and(|change| change.base == 0) {
                 know_dealt(sidecar);
             }
@@ -95,7 +95,7 @@
             kind
         }
     };
-    let Directed { token, taken, epoch, .. } = order;
+    let BatchOrder { token, taken, epoch, .. } = order;
     carry_out(sidecar, &sidecar.engine, &Order { token, order_seq: taken, epoch, kind }).await
 }
 
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -8,7 +8,7 @@
     state::Sidecar,
 };
 use crate::{
-    gateway::message::{Message, Pace},
+    gateway::message::{Message, PassForecast},
     platform::engine::Engine,
 };
 use mastweir_core::{
@@ -261,7 +261,7 @@
         self.paced = now;
         self.words += 1;
         let (group, word) = (self.shared.group.clone(), (self.shared.token, self.words));
-        let pace = Message::Pace(Pace { group, word, pass_ms });
+        let pace = Message::Forecast(PassForecast { group, word, pass_ms });
         self.sidecar.speakers.borrow().live().for_each(|ip| self.sidecar.send(ip, &pace));
     }
 
--- a/src/mastweir/sidecar/known.rs
+++ b/src/mastweir/sidecar/known.rs
@@ -2,7 +2,7 @@
 //! requests chose.
 
 use super::{answers::add_counts, ranks::Ranks};
-use crate::gateway::message::{Counts, GroupView, Message, RankBrief};
+use crate::gateway::message::{Counts, GroupView, Message, RankStatus};
 use mastweir_core::{
     experts::recent_demand::RecentDemand,
     gateway::Model,
@@ -128,7 +128,7 @@
                 report.rank.into_iter().for_each(|rank| self.seen(rank, joins, now));
                 self.add(report.round, &report.counts, now);
             }
-            Message::Section(report) if report.group == group => {
+            Message::Subtree(report) if report.group == group => {
                 report.ranks.into_iter().for_each(|rank| self.seen(rank, false, now));
                 self.add(report.round, &report.counts, now);
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    fn seen(&mut self, rank: RankBrief, joins: bool, now: Uptime) {
+    fn seen(&mut self, rank: RankStatus, joins: bool, now: Uptime) {
         let member = self.members.entry(rank.server).or_default();
         member.last_seen = Some(now);
         if joins {
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -14,7 +14,7 @@
     state::Sidecar,
 };
 use crate::{
-    gateway::message::{Batch, Brief, Carried, Directed, OrderReply},
+    gateway::message::{BatchOrder, BatchOrderKind, BatchReplies, OrderBatch, OrderReply},
     net::internal,
     platform::engine::Engine,
 };
@@ -154,13 +154,13 @@
     map: Option<MapDelta>,
 ) -> Vec<Replied> {
     let orders = section.iter().filter_map(directed).collect();
-    let batch = Batch { map, orders };
+    let batch = OrderBatch { map, orders };
     let addr = sidecar.addr(head.ip());
     let call = internal::call(&sidecar.internal, addr, "/orders", &batch, BATCH_LASTS).await;
-    let carried: Carried = call.unwrap_or_else(|error| {
+    let carried: BatchReplies = call.unwrap_or_else(|error| {
         warn!(sidecar.log, "section gave no answer"; "head" => %head, "error" => %error);
         shared.known.borrow_mut().failed(head, sidecar.clock.now());
-        Carried::new()
+        BatchReplies::new()
     });
     let mut replies: BTreeMap<SocketAddr, OrderReply> = carried.into_iter().collect();
     let replied = |order: Addressed| {
@@ -170,15 +170,17 @@
     section.into_iter().map(replied).collect()
 }
 
-fn directed(order: &Addressed) -> Option<Directed> {
+fn directed(order: &Addressed) -> Option<BatchOrder> {
     let brief = match &order.order.kind {
-        OrderKind::Load { .. } => Brief::Load,
-        OrderKind::Schedule { version, pass } => Brief::Schedule { version: *version, pass: *pass },
-        OrderKind::Cancel { version } => Brief::Cancel { version: *version },
+        OrderKind::Load { .. } => BatchOrderKind::Load,
+        OrderKind::Schedule { version, pass } => {
+            BatchOrderKind::Schedule { version: *version, pass: *pass }
+        }
+        OrderKind::Cancel { version } => BatchOrderKind::Cancel { version: *version },
         OrderKind::Pause { .. } | OrderKind::Resume { .. } => return None,
     };
     let Order { token, order_seq: taken, epoch, .. } = order.order;
-    Some(Directed { server: order.seen.server, token, taken, epoch, brief })
+    Some(BatchOrder { server: order.seen.server, token, taken, epoch, brief })
 }
 
 /// Gives an order from here, and asks the rank's sidecar, if that is heard, for its state
--- a/src/mastweir/sidecar/poll.rs
+++ b/src/mastweir/sidecar/poll.rs
@@ -11,7 +11,8 @@
 };
 use crate::{
     gateway::message::{
-        COUNTS_SENT, Counts, Message, Poll, RANKS_SENT, RankBrief, RankReport, SectionReport,
+        COUNTS_PER_DATAGRAM, Counts, Message, Poll, RANKS_PER_DATAGRAM, RankReport, RankStatus,
+        SubtreeReport,
     },
     platform::engine::EngineState,
 };
@@ -90,8 +91,8 @@
 /// Sends a section's answers to the coordinator.
 fn send_on(sidecar: &Sidecar, answers: &Gathering) {
     let Gathering { poll, ranks, sums, .. } = answers;
-    let report = |ranks: &[RankBrief], counts: Counts| {
-        Message::Section(SectionReport {
+    let report = |ranks: &[RankStatus], counts: Counts| {
+        Message::Subtree(SubtreeReport {
             group: poll.group.clone(),
             round: poll.round,
             ranks: ranks.to_vec(),
@@ -99,7 +100,7 @@
         })
     };
     // States and sums have datagrams of their own: together they may not fit.
-    let states = ranks.chunks(RANKS_SENT).map(|ranks| report(ranks, Counts::default()));
+    let states = ranks.chunks(RANKS_PER_DATAGRAM).map(|ranks| report(ranks, Counts::default()));
     let sums = parts(sums).into_iter().map(|counts| report(&[], counts));
     for message in states.chain(sums) {
         if poll.lead == sidecar.ip {
@@ -113,11 +114,11 @@
 
 /// Counts in parts that fit into datagrams; one without any where there are none.
 fn parts(counts: &[u32]) -> VecDeque<Counts> {
-    let all = counts.chunks(COUNTS_SENT).enumerate();
+    let all = counts.chunks(COUNTS_PER_DATAGRAM).enumerate();
     let part = |(number, part): (usize, &[u32])| Counts {
-        from: u32::try_from(number * COUNTS_SENT).unwrap_or(u32::MAX),
+        from: u32::try_from(number * COUNTS_PER_DATAGRAM).unwrap_or(u32::MAX),
         counts: part.to_vec(),
-        last: (number + 1) * COUNTS_SENT >= counts.len(),
+        last: (number + 1) * COUNTS_PER_DATAGRAM >= counts.len(),
     };
     let parts: VecDeque<Counts> = all.map(part).collect();
     if parts.is_empty() { [Counts { last: true, ..Counts::default() }].into() } else { parts }
@@ -151,9 +152,9 @@
     state: &EngineState,
     group: &str,
     read_at: Uptime,
-) -> Option<RankBrief> {
+) -> Option<RankStatus> {
     let rank = state.rank.clone().filter(|_| state.group.as_deref() == Some(group))?;
-    Some(RankBrief {
+    Some(RankStatus {
         server: sidecar.server,
         state: rank,
         load: state.running + state.waiting,
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -2,7 +2,7 @@
 
 use super::{poll, state::Sidecar};
 use crate::{
-    gateway::message::{DATAGRAM_MAX, Greeting, Message, Report},
+    gateway::message::{DATAGRAM_MAX, Message, RelayHello, ServerReport},
     platform::{engine::EngineState, headers::NamedLimit},
 };
 use mastweir_core::{
@@ -107,7 +107,7 @@
         limit: state.limit.rate(),
     };
     let lead = sidecar.lead_seen();
-    let report = Message::Report(Report { server: sidecar.server, told, lead });
+    let report = Message::Report(ServerReport { server: sidecar.server, told, lead });
     for ip in sidecar.speakers.borrow_mut().expire(now) {
         info!(sidecar.log, "speaker lost"; "peer" => %ip);
     }
@@ -121,10 +121,10 @@
         // An error says that an earlier datagram met a closed port.
         let Ok((len, from)) = sidecar.socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes(&buffer[..len]) {
-            Ok(Message::Greeting(greeting)) => greeted(&sidecar, greeting, from.ip()),
+            Ok(Message::RelayHello(greeting)) => greeted(&sidecar, greeting, from.ip()),
             Ok(Message::Poll(asked)) => poll::polled(&sidecar, asked, from.ip()),
             Ok(Message::Rank(report)) => sidecar.take_report(report, from.ip()),
-            Ok(section @ Message::Section(_)) => {
+            Ok(section @ Message::Subtree(_)) => {
                 // A coordinator that is behind gets the next one.
                 let _ = sidecar.reports.try_send(section);
             }
@@ -132,18 +132,18 @@
                 Message::Hello(_)
                 | Message::Report(_)
                 | Message::Loads(_)
-                | Message::Pace(_)
-                | Message::Suspected(_)
+                | Message::Forecast(_)
+                | Message::Suspects(_)
                 | Message::Limits(_)
-                | Message::Borrow(_)
-                | Message::Lent(_),
+                | Message::RequestPermits(_)
+                | Message::GrantPermits(_),
             )
             | Err(_) => (),
         }
     }
 }
 
-fn greeted(sidecar: &Sidecar, greeting: Greeting, from: IpAddr) {
+fn greeted(sidecar: &Sidecar, greeting: RelayHello, from: IpAddr) {
     let now = sidecar.clock.now();
     // One that is leaving still serves: without reports it would take all servers for
     // lost, and cut its last streams. It is forgotten when it says no more.
--- a/src/mastweir/sidecar/ranks.rs
+++ b/src/mastweir/sidecar/ranks.rs
@@ -5,7 +5,7 @@
 //! stands still, must not hold up what the others need.
 
 use super::state::Sidecar;
-use crate::{gateway::message::RankBrief, net::http::Pool, platform::engine::Engine};
+use crate::{gateway::message::RankStatus, net::http::Pool, platform::engine::Engine};
 use mastweir_core::{switch::map_change::RankState, time::Uptime};
 use slog::info;
 use std::{
@@ -128,7 +128,7 @@
     }
 
     /// Takes in what a sidecar says of its rank.
-    pub fn report(&mut self, brief: RankBrief, now: Uptime) {
+    pub fn report(&mut self, brief: RankStatus, now: Uptime) {
         self.note(Seen {
             server: brief.server,
             at: now,
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -5,7 +5,7 @@
     answers::{Answers, Readings},
 };
 use crate::{
-    gateway::message::{LeadSeen, Message, Poll},
+    gateway::message::{CoordinatorSeen, Message, Poll},
     net::http::Pool,
     platform::{
         engine::{Engine, EngineState},
@@ -152,11 +152,11 @@
     }
 
     /// The coordinator that was heard last, as it is told to others.
-    pub fn lead_seen(&self) -> Option<LeadSeen> {
+    pub fn lead_seen(&self) -> Option<CoordinatorSeen> {
         let heard = self.heard.borrow();
         let heard = heard.as_ref()?;
         let age = self.clock.now().since(heard.at).as_millis();
-        Some(LeadSeen {
+        Some(CoordinatorSeen {
             group: heard.group.clone(),
             token: heard.token,
             round: heard.round,
@@ -166,7 +166,7 @@
     }
 
     /// Takes in what another says of the group's coordinator.
-    pub fn hear_of(&self, seen: LeadSeen) {
+    pub fn hear_of(&self, seen: CoordinatorSeen) {
         let now = self.clock.now();
         let at = now - Duration::from_millis(u64::from(seen.age_ms));
         let mut heard = self.heard.borrow_mut();
@@ -174,7 +174,7 @@
             heard.group != seen.group || (heard.token, heard.round) < (seen.token, seen.round)
         });
         if newer {
-            let LeadSeen { group, token, round, ip, .. } = seen;
+            let CoordinatorSeen { group, token, round, ip, .. } = seen;
             *heard = Some(Heard { lead: ip, group, token, round, at });
         }
     }
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use mastweir::{
-    gateway::message::{Counts, Poll, RankBrief, RankReport},
+    gateway::message::{Counts, Poll, RankReport, RankStatus},
     sidecar::answers::{Answers, add_counts},
 };
 use mastweir_core::{switch::map_change::RankState, time::Uptime};
@@ -26,7 +26,7 @@
 
 fn report(number: u8, round: u64, counts: Vec<u32>) -> RankReport {
     let state = RankState { rank: u32::from(number), ..RankState::default() };
-    let rank = RankBrief {
+    let rank = RankStatus {
         server: SocketAddr::new(ip(number), 80),
         state,
         load: 1,
--- a/tests/testsuite/circles.rs
+++ b/tests/testsuite/circles.rs
@@ -2,7 +2,7 @@
 
 use eyre::Result;
 use googletest::prelude::*;
-use mastweir::gateway::message::{Hello, Message, Pace};
+use mastweir::gateway::message::{Hello, Message, PassForecast};
 use mastweir_core::revision::Revision;
 use mastweir_test_support::site::{Running, Site, route};
 use std::{net::SocketAddr, time::Duration};
@@ -74,7 +74,9 @@
     let (follower, speaker) = (world.peer(1).await?, world.peer(2).await?);
     world.say(&follower, &hello("hall-a", false, true)).await?;
     world.say(&speaker, &hello("hall-a", false, false)).await?;
-    let pace = |word| Message::Pace(Pace { group: "g".to_owned(), word: (7, word), pass_ms: 90 });
+    let pace = |word| {
+        Message::Forecast(PassForecast { group: "g".to_owned(), word: (7, word), pass_ms: 90 })
+    };
     // The same word comes round again and again, and an older one behind it.
     for word in [4, 4, 4, 3, 4] {
         world.say(&speaker, &pace(word)).await?;
@@ -82,7 +84,7 @@
     world.say(&speaker, &pace(5)).await?;
     let told = heard(&follower).await;
     let told: Vec<&Message> =
-        told.iter().filter(|message| matches!(message, Message::Pace(_))).collect();
+        told.iter().filter(|message| matches!(message, Message::Forecast(_))).collect();
     expect_that!(told, eq(&vec![&pace(4), &pace(5)]));
     Ok(())
 }
--- a/tests/testsuite/incarnations.rs
+++ b/tests/testsuite/incarnations.rs
@@ -8,7 +8,7 @@
 use eyre::Result;
 use googletest::prelude::*;
 use mastweir::{
-    gateway::message::{Poll, RankBrief},
+    gateway::message::{Poll, RankStatus},
     platform::engine::Choices,
     sidecar::{answers::Readings, ranks::Ranks},
 };
@@ -136,7 +136,7 @@
 fn loads_of_the_previous_incarnation_are_not_awaited() {
     let at = Uptime::from_secs(5);
     let mut ranks = Ranks::new(Uptime::default());
-    let brief = |born, read_at| RankBrief {
+    let brief = |born, read_at| RankStatus {
         server: ([10, 0, 0, 1], 80).into(),
         state: RankState { epoch: 2, size: 1, open: true, ..RankState::default() },
         load: 0,
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -3,8 +3,9 @@
 
 use googletest::prelude::*;
 use mastweir::gateway::message::{
-    Borrow, COUNTS_SENT, Counts, DATAGRAM_MAX, Hello, LIMITS_SENT, LOADS_SENT, LeadSeen, Lent,
-    LentFor, Load, Loads, Message, Poll, RANKS_SENT, RankBrief, RankReport, SectionReport,
+    COUNTS_PER_DATAGRAM, CoordinatorSeen, Counts, DATAGRAM_MAX, GrantPermits, Hello,
+    LIMITS_PER_DATAGRAM, LOADS_PER_DATAGRAM, Loads, Message, Poll, RANKS_PER_DATAGRAM, RankReport,
+    RankStatus, RequestPermits, ServerGrant, ServerLoad, SubtreeReport,
 };
 use mastweir_core::{
     gateway::{LimitUpdate, LoadReport, PeerInfo, Rate},
@@ -27,7 +28,7 @@
 }
 
 /// A rank's state, with numbers as large as they get in a month.
-fn brief(number: usize) -> RankBrief {
+fn brief(number: usize) -> RankStatus {
     let state = RankState {
         epoch: 1_000,
         rank: number as u32,
@@ -42,7 +43,7 @@
         paused: Some(40_000_002),
     };
     let read_at = Uptime::from_secs(2_600_000);
-    RankBrief {
+    RankStatus {
         server: server(number),
         state,
         load: 100,
@@ -89,19 +90,19 @@
         group: group(),
         round: 20_000_000,
         rank: Some(brief(500)),
-        counts: counts(10_000, COUNTS_SENT),
+        counts: counts(10_000, COUNTS_PER_DATAGRAM),
     });
-    let states = Message::Section(SectionReport {
+    let states = Message::Subtree(SubtreeReport {
         group: group(),
         round: 20_000_000,
-        ranks: (0..RANKS_SENT).map(brief).collect(),
+        ranks: (0..RANKS_PER_DATAGRAM).map(brief).collect(),
         counts: Counts::default(),
     });
-    let sums = Message::Section(SectionReport {
+    let sums = Message::Subtree(SubtreeReport {
         group: group(),
         round: 20_000_000,
         ranks: Vec::new(),
-        counts: counts(1_000_000, COUNTS_SENT),
+        counts: counts(1_000_000, COUNTS_PER_DATAGRAM),
     });
     let told = LoadReport {
         running: 20,
@@ -116,12 +117,18 @@
         leaving: true,
         limit: Rate::per_second(1e9),
     };
-    let load = |at| Load { server: server(at), age_ms: 9_000, group: Some(3), told: told.clone() };
-    let lead =
-        |at| LeadSeen { group: group(), token: 900, round: 20_000_000, ip: ip(at), age_ms: 4_000 };
+    let load =
+        |at| ServerLoad { server: server(at), age_ms: 9_000, group: Some(3), told: told.clone() };
+    let lead = |at| CoordinatorSeen {
+        group: group(),
+        token: 900,
+        round: 20_000_000,
+        ip: ip(at),
+        age_ms: 4_000,
+    };
     let loads = Message::Loads(Loads {
         groups: (0..4).map(|_| group()).collect(),
-        loads: (0..LOADS_SENT).map(load).collect(),
+        loads: (0..LOADS_PER_DATAGRAM).map(load).collect(),
         leads: Vec::new(),
     });
     let leads = Message::Loads(Loads { leads: (0..16).map(lead).collect(), ..Loads::default() });
@@ -140,7 +147,7 @@
     });
     let id = |at: usize| format!("i-{:020}", u64::MAX - at as u64);
     let limits = Message::Limits(
-        (0..LIMITS_SENT)
+        (0..LIMITS_PER_DATAGRAM)
             .map(|at| LimitUpdate {
                 server: id(at),
                 incarnation: 1_790_000_000_000,
@@ -152,12 +159,15 @@
     );
     // All services of a table with four of their servers each.
     let asked = 28;
-    let borrow = Message::Borrow(Borrow {
+    let borrow = Message::RequestPermits(RequestPermits {
         number: u64::MAX,
         wants: (0..asked).map(|at| (id(at), 64)).collect(),
     });
-    let loan = |at| LentFor { server: id(at), count: 0, wait_ms: 4_000 };
-    let lent = Message::Lent(Lent { number: u64::MAX, loans: (0..asked).map(loan).collect() });
+    let loan = |at| ServerGrant { server: id(at), count: 0, wait_ms: 4_000 };
+    let lent = Message::GrantPermits(GrantPermits {
+        number: u64::MAX,
+        loans: (0..asked).map(loan).collect(),
+    });
     for message in [&poll, &rank, &states, &sums, &loads, &leads, &hello, &limits, &borrow, &lent] {
         expect_that!(size(message), le(DATAGRAM_MAX), "{message:?}");
     }
--- a/tests/testsuite/suspension.rs
+++ b/tests/testsuite/suspension.rs
@@ -4,7 +4,7 @@
 use eyre::Result;
 use googletest::prelude::*;
 use mastweir::{
-    gateway::message::{Message, Report},
+    gateway::message::{Message, ServerReport},
     util::clock::Clock,
 };
 use mastweir_core::{gateway::LoadReport, time::Uptime};
@@ -160,7 +160,7 @@
     loop {
         for server in servers.iter().filter(|_| is_sending.load(Ordering::SeqCst)) {
             let told = LoadReport { running: 3, group_open: true, ..LoadReport::default() };
-            let report = Message::Report(Report { server: *server, told, lead: None });
+            let report = Message::Report(ServerReport { server: *server, told, lead: None });
             socket.send_to(&postcard::to_stdvec(&report)?, gateway).await?;
         }
         time::sleep(Duration::from_millis(50)).await;
