--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -109,7 +109,7 @@
     let fleet = gateway.fleet.borrow();
     let of_group = fleet.loads(now).filter(|(_, _, told)| told.group.as_deref() == Some(group));
     let servers = of_group.map(|(server, ..)| (server.addr, server.hall.clone())).collect();
-    GroupView { servers, lead: lead(gateway, group) }
+    GroupView { servers, coordinator: lead(gateway, group) }
 }
 
 /// A group's coordinator, if one was heard of, with its age now.
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/lending.rs
@@ -68,12 +68,12 @@
     for PermitRequest { issuer: lender, number, wanted: wants } in asks {
         if lender == own {
             let loans = wants.into_iter().map(|(server, count)| lend(gateway, server, count, own));
-            lent(gateway, GrantPermits { number, loans: loans.collect() });
+            lent(gateway, GrantPermits { number, grants: loans.collect() });
             continue;
         }
         // What can't be encoded can't be sent; no message is of that kind.
         if let Ok(bytes) =
-            postcard::to_stdvec(&Message::RequestPermits(RequestPermits { number, wants }))
+            postcard::to_stdvec(&Message::RequestPermits(RequestPermits { number, wanted: wants }))
         {
             send(gateway, socket, gateway.internal_addr(lender), &bytes);
         }
@@ -113,10 +113,12 @@
 
 /// Another gateway asks.
 pub fn borrowed(gateway: &Gateway, socket: &UdpSocket, borrow: RequestPermits, from: IpAddr) {
-    let RequestPermits { number, wants } = borrow;
+    let RequestPermits { number, wanted: wants } = borrow;
     let loans =
         wants.into_iter().map(|(server, count)| lend(gateway, server, count, from)).collect();
-    if let Ok(bytes) = postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, loans })) {
+    if let Ok(bytes) =
+        postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, grants: loans }))
+    {
         send(gateway, socket, gateway.internal_addr(from), &bytes);
     }
 }
@@ -126,7 +128,7 @@
     let now = gateway.clock.now();
     let asked = gateway.lending.borrower.borrow_mut().accept_answer(lent.number, now);
     match asked {
-        Some(asked) => take(gateway, lent.loans, asked),
+        Some(asked) => take(gateway, lent.grants, asked),
         None => gateway.metrics.count("tokens_total", "late"),
     }
 }
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -66,7 +66,7 @@
     /// Tells its answer from others, also those to the process before.
     pub number: u64,
     /// Servers, and how many tokens are wanted.
-    pub wants: Vec<(String, u32)>,
+    pub wanted: Vec<(String, u32)>,
 }
 
 /// What is lent.
@@ -75,7 +75,7 @@
     /// Number of the message that asked for it.
     pub number: u64,
     /// By server.
-    pub loans: Vec<ServerGrant>,
+    pub grants: Vec<ServerGrant>,
 }
 
 /// What is lent for a server.
@@ -103,15 +103,15 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether it knows no speaker yet, and wants to be told of some.
-    pub asks: bool,
+    pub wants_reply: bool,
     /// Whether it wants what speakers tell their hall.
-    pub follows: bool,
+    pub is_follower: bool,
     /// Gateways of its hall that it hears, itself included.
-    pub in_hall: u32,
+    pub hall_size: u32,
     /// Most gateways that it knew of at once.
-    pub in_all: u32,
+    pub fleet_size: u32,
     /// The first gateways of each hall, as far as it hears them.
-    pub known: Vec<PeerInfo>,
+    pub known_peers: Vec<PeerInfo>,
 }
 
 /// A speaker is here: a sidecar reports to it.
@@ -120,7 +120,7 @@
     /// The server's engine.
     pub model: Option<Model>,
     /// The coordinator of its group, if one was heard of.
-    pub lead: Option<CoordinatorSeen>,
+    pub coordinator: Option<CoordinatorSeen>,
 }
 
 /// A group's coordinator, as it was heard of.
@@ -146,9 +146,9 @@
     /// Where the server listens.
     pub server: SocketAddr,
     /// What its sidecar saw.
-    pub told: LoadReport,
+    pub load: LoadReport,
     /// The coordinator that it heard last.
-    pub lead: Option<CoordinatorSeen>,
+    pub coordinator: Option<CoordinatorSeen>,
 }
 
 /// Loads of many servers, each with its age.
@@ -159,7 +159,7 @@
     /// The loads.
     pub loads: Vec<ServerLoad>,
     /// Coordinators of groups.
-    pub leads: Vec<CoordinatorSeen>,
+    pub coordinators: Vec<CoordinatorSeen>,
 }
 
 /// A server's load, as a speaker tells it on.
@@ -172,7 +172,7 @@
     /// Place of its group's name in the list, if it has one.
     pub group: Option<u8>,
     /// What its sidecar saw, without the group's name.
-    pub told: LoadReport,
+    pub load: LoadReport,
 }
 
 /// How long a group's passes are expected to be: sooner known than seen.
@@ -183,7 +183,7 @@
     /// Which of its coordinators' words this is: token, and number of the word, which
     /// rises. Only news is told on: speakers that follow each other, as those that are
     /// leaving do, would tell it in a circle for ever.
-    pub word: (u64, u64),
+    pub sequence: (u64, u64),
     /// Milliseconds.
     pub pass_ms: u32,
 }
@@ -196,7 +196,7 @@
     /// Its token.
     pub token: u64,
     /// Where it is.
-    pub lead: IpAddr,
+    pub coordinator: IpAddr,
     /// Number of the poll; rises.
     pub round: u64,
     /// The poll since which it wants to know what was chosen.
@@ -204,7 +204,7 @@
     /// First of the sets that it asks for, and how many; wraps at the last.
     pub sets: Option<(u16, u16)>,
     /// Sidecars to whom the receiver passes it on, and for whom it answers.
-    pub section: Vec<IpAddr>,
+    pub subtree: Vec<IpAddr>,
 }
 
 /// A rank, as its sidecar sees it.
@@ -217,9 +217,9 @@
     /// Requests that run and wait there.
     pub load: u32,
     /// Time that it takes for the same work over what is usual, in thousandths.
-    pub pace_milli: u32,
+    pub slowdown_milli: u32,
     /// Life of the server; zero if that does not say.
-    pub born: u64,
+    pub incarnation: u64,
     /// When it was read, on the sidecar's clock: datagrams overtake each other.
     pub read_at: Uptime,
 }
@@ -243,11 +243,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Place of the first of these among all that were asked for.
-    pub from: u32,
+    pub offset: u32,
     /// The counts.
     pub counts: Vec<u32>,
     /// Whether no other part follows.
-    pub last: bool,
+    pub is_last: bool,
 }
 
 /// A head's answer to a poll: the ranks that answered it, and the sum of their counts.
@@ -269,7 +269,7 @@
     /// Where they listen, and in which hall.
     pub servers: Vec<(SocketAddr, String)>,
     /// Its coordinator, if one was heard of.
-    pub lead: Option<CoordinatorSeen>,
+    pub coordinator: Option<CoordinatorSeen>,
 }
 
 /// What a rank is to do; what a load brings stands beside the orders.
@@ -299,11 +299,11 @@
     /// Token of the coordinator.
     pub token: u64,
     /// Orders that the rank had taken.
-    pub taken: u64,
+    pub order_seq: u64,
     /// Life of the group.
     pub epoch: u64,
     /// What to do.
-    pub brief: BatchOrderKind,
+    pub kind: BatchOrderKind,
 }
 
 /// Orders for a section, passed on by its head.
@@ -319,13 +319,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
     /// What the rank made of it; none if it gave no answer.
-    pub taken: Option<OrderOutcome>,
+    pub outcome: Option<OrderOutcome>,
     /// Its state after it.
     pub state: Option<RankState>,
     /// When that was read, on the sidecar's clock.
     pub read_at: Uptime,
     /// Whether its sidecar needs all of the map.
-    pub lacks: bool,
+    pub needs_map: bool,
     /// Times that it was given without an answer.
     pub unanswered: u32,
 }
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -67,7 +67,17 @@
 
 fn heard(gateway: &Rc<Gateway>, socket: &UdpSocket, hello: Hello, from: IpAddr, lag: &mut Lag) {
     let now = gateway.clock.now();
-    let Hello { hall, power, leaving, asks, follows, in_hall, in_all, known, .. } = hello;
+    let Hello {
+        hall,
+        power,
+        leaving,
+        wants_reply: asks,
+        is_follower: follows,
+        hall_size: in_hall,
+        fleet_size: in_all,
+        known_peers: known,
+        ..
+    } = hello;
     {
         let mut gateways = gateway.gateways.borrow_mut();
         let is = PeerInfo { ip: from, hall, power };
@@ -83,7 +93,7 @@
         let addr = gateway.internal_addr(from);
         // An answer asks nothing: two that know no other of their halls would answer each
         // other for ever.
-        let hello = Hello { asks: false, ..own_hello(gateway) };
+        let hello = Hello { wants_reply: false, ..own_hello(gateway) };
         if let Ok(bytes) = postcard::to_stdvec(&Message::Hello(hello)) {
             send(gateway, socket, addr, &bytes);
         }
@@ -111,11 +121,11 @@
         config: gateway.version(),
         directory: gateway.fleet.borrow().directory().revision,
         leaving: gateway.stopping.get(),
-        asks: gateways.is_isolated(now),
-        follows: !gateway.is_relay.get(),
-        in_hall: gateways.hall_size(now),
-        in_all: gateways.max_known(),
-        known: gateways.known_peers(now),
+        wants_reply: gateways.is_isolated(now),
+        is_follower: !gateway.is_relay.get(),
+        hall_size: gateways.hall_size(now),
+        fleet_size: gateways.max_known(),
+        known_peers: gateways.known_peers(now),
     }
 }
 
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -89,7 +89,7 @@
     if chunks.is_empty() {
         chunks.push(Loads::default());
     }
-    chunks[0].leads.append(&mut leads);
+    chunks[0].coordinators.append(&mut leads);
     let bytes = chunks.into_iter().filter_map(|chunk| {
         // What can't be encoded can't be told; no message is of that kind.
         postcard::to_stdvec(&Message::Loads(chunk)).ok()
@@ -113,11 +113,11 @@
             server: *server,
             age_ms,
             group,
-            told: LoadReport { group: None, ..(*told).clone() },
+            load: LoadReport { group: None, ..(*told).clone() },
         }
     };
     let loads = loads.iter().map(load).collect();
-    Loads { groups, loads, leads: Vec::new() }
+    Loads { groups, loads, coordinators: Vec::new() }
 }
 
 fn leads(gateway: &Gateway, now: Uptime) -> Vec<CoordinatorSeen> {
@@ -148,7 +148,7 @@
         }
         let group = fleet.last_report(&server.id).and_then(|told| told.group.clone());
         let lead = group.and_then(|group| fetch::lead(gateway, &group));
-        let greeting = Message::RelayHello(RelayHello { model: Some(model), lead });
+        let greeting = Message::RelayHello(RelayHello { model: Some(model), coordinator: lead });
         let Ok(bytes) = postcard::to_stdvec(&greeting) else { continue };
         send(gateway, socket, gateway.internal_addr(server.addr.ip()), &bytes);
     }
@@ -157,20 +157,20 @@
 /// Takes a sidecar's report in.
 pub fn reported(gateway: &Gateway, report: ServerReport) {
     let now = gateway.clock.now();
-    report.lead.into_iter().for_each(|lead| heard_of(gateway, lead, now));
+    report.coordinator.into_iter().for_each(|lead| heard_of(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
     let Some(id) = fleet.id_at(report.server).map(str::to_owned) else { return };
-    log_news(gateway, &id, fleet.record_report(&id, report.told, now), "sidecar");
+    log_news(gateway, &id, fleet.record_report(&id, report.load, now), "sidecar");
     gateway.server_changes.notify_waiters();
 }
 
 /// Takes in what another gateway tells of servers.
 pub fn told(gateway: &Gateway, loads: Loads) {
     let now = gateway.clock.now();
-    let Loads { groups, loads, leads } = loads;
+    let Loads { groups, loads, coordinators: leads } = loads;
     leads.into_iter().for_each(|lead| heard_of(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
-    for ServerLoad { server, age_ms, group, told } in loads {
+    for ServerLoad { server, age_ms, group, load: told } in loads {
         let Some(id) = fleet.id_at(server).map(str::to_owned) else { continue };
         let group = group.and_then(|at| groups.get(usize::from(at)).cloned());
         let age = Duration::from_millis(u64::from(age_ms));
@@ -206,7 +206,7 @@
 /// seconds (83 tries, a simulated day).
 pub fn paced(gateway: &Gateway, socket: &UdpSocket, pace: PassForecast, from_sidecar: bool) {
     let now = gateway.clock.now();
-    let PassForecast { group, word, pass_ms } = &pace;
+    let PassForecast { group, sequence: word, pass_ms } = &pace;
     if !gateway.fleet.borrow_mut().record_forecast(group, *word, *pass_ms, now) {
         return;
     }
--- a/src/mastweir/sidecar/answers.rs
+++ b/src/mastweir/sidecar/answers.rs
@@ -88,7 +88,7 @@
     pub fn add(&mut self, from: IpAddr, report: RankReport) {
         add_counts(&mut self.sums, &report.counts);
         self.ranks.extend(report.rank);
-        if report.counts.last {
+        if report.counts.is_last {
             self.waiting.remove(&from);
         }
     }
@@ -133,7 +133,7 @@
 
 /// Adds counts to sums, at their places.
 pub fn add_counts(sums: &mut Vec<u32>, counts: &Counts) {
-    let from = counts.from as usize;
+    let from = counts.offset as usize;
     let end = from + counts.counts.len();
     if end > COUNTS_MAX {
         return;
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/carry.rs
@@ -77,7 +77,7 @@
 }
 
 async fn carry_own(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
-    let kind = match order.brief {
+    let kind = match order.kind {
         BatchOrderKind::Schedule { version, pass } => OrderKind::Schedule { version, pass },
         BatchOrderKind::Cancel { version } => OrderKind::Cancel { version },
         BatchOrderKind::Load => {
@@ -90,12 +90,12 @@
             });
             let Some(kind) = made else {
                 let reply = after(sidecar, &sidecar.engine, Given::default()).await;
-                return OrderReply { lacks: true, ..reply };
+                return OrderReply { needs_map: true, ..reply };
             };
             kind
         }
     };
-    let BatchOrder { token, taken, epoch, .. } = order;
+    let BatchOrder { token, order_seq: taken, epoch, .. } = order;
     carry_out(sidecar, &sidecar.engine, &Order { token, order_seq: taken, epoch, kind }).await
 }
 
@@ -154,7 +154,7 @@
 async fn after(sidecar: &Sidecar, engine: &Engine, given: Given) -> OrderReply {
     let state = engine.state().await.ok().and_then(|state| state.rank);
     let Given { taken, unanswered } = given;
-    OrderReply { taken, state, read_at: sidecar.clock.now(), lacks: false, unanswered }
+    OrderReply { outcome: taken, state, read_at: sidecar.clock.now(), needs_map: false, unanswered }
 }
 
 /// Asks another sidecar for its rank's state.
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -261,7 +261,7 @@
         self.paced = now;
         self.words += 1;
         let (group, word) = (self.shared.group.clone(), (self.shared.token, self.words));
-        let pace = Message::Forecast(PassForecast { group, word, pass_ms });
+        let pace = Message::Forecast(PassForecast { group, sequence: word, pass_ms });
         self.sidecar.speakers.borrow().live().for_each(|ip| self.sidecar.send(ip, &pace));
     }
 
@@ -285,19 +285,19 @@
         let mut known = self.shared.known.borrow_mut();
         let ranks = &mut known.ranks;
         for (rank, epoch, reply) in replies {
-            if let (Some(version), Some(OrderOutcome::Accepted)) = (loads, reply.taken) {
+            if let (Some(version), Some(OrderOutcome::Accepted)) = (loads, reply.outcome) {
                 ranks.loads(rank, version, epoch, now);
             }
             (0..reply.unanswered).for_each(|_| self.loss.record(false, now));
-            if !reply.lacks && (reply.taken.is_some() || reply.unanswered == 0) {
-                self.loss.record(reply.taken.is_some(), now);
+            if !reply.needs_map && (reply.outcome.is_some() || reply.unanswered == 0) {
+                self.loss.record(reply.outcome.is_some(), now);
             }
-            self.fenced |= reply.taken == Some(OrderOutcome::Fenced);
+            self.fenced |= reply.outcome == Some(OrderOutcome::Fenced);
             let Some(seen) = ranks.get(rank) else { continue };
             let server = seen.server;
-            if reply.lacks {
+            if reply.needs_map {
                 self.lacking.insert(server);
-            } else if reply.taken.is_some() {
+            } else if reply.outcome.is_some() {
                 self.lacking.remove(&server);
             }
             let read_at = seen.read_at.map(|_| reply.read_at);
--- a/src/mastweir/sidecar/known.rs
+++ b/src/mastweir/sidecar/known.rs
@@ -150,7 +150,7 @@
     fn add(&mut self, round: u64, counts: &Counts, now: Uptime) {
         let Some(sums) = self.sums.as_mut().filter(|_| round == self.counted) else { return };
         add_counts(&mut sums.counts, counts);
-        if counts.last {
+        if counts.is_last {
             sums.open = sums.open.saturating_sub(1);
         }
         if sums.open == 0 {
--- a/src/mastweir/sidecar/lead.rs
+++ b/src/mastweir/sidecar/lead.rs
@@ -87,7 +87,7 @@
 
 /// Whether a gateway has heard of another coordinator just now.
 fn is_led(sidecar: &Sidecar, view: &GroupView) -> bool {
-    let Some(lead) = view.lead.clone() else { return false };
+    let Some(lead) = view.coordinator.clone() else { return false };
     let is_fresh = u128::from(lead.age_ms) < COORDINATOR_TIMEOUT.as_millis();
     let is_other = lead.ip != sidecar.ip;
     sidecar.hear_of(lead);
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -180,7 +180,7 @@
         OrderKind::Pause { .. } | OrderKind::Resume { .. } => return None,
     };
     let Order { token, order_seq: taken, epoch, .. } = order.order;
-    Some(BatchOrder { server: order.seen.server, token, taken, epoch, brief })
+    Some(BatchOrder { server: order.seen.server, token, order_seq: taken, epoch, kind: brief })
 }
 
 /// Gives an order from here, and asks the rank's sidecar, if that is heard, for its state
@@ -196,7 +196,7 @@
     } else {
         let Given { taken, unanswered } = carry::give(sidecar, &engine, &order).await;
         let reply = carry::state_of(sidecar, seen.server, BATCH_LASTS).await;
-        OrderReply { taken, unanswered, ..reply }
+        OrderReply { outcome: taken, unanswered, ..reply }
     };
     vec![(rank, order.epoch, reply)]
 }
@@ -213,16 +213,16 @@
 }
 
 fn log_replies(sidecar: &Sidecar, shared: &Shared, replies: &[Replied]) {
-    let taken = replies.iter().filter(|(_, _, reply)| reply.taken.is_some());
+    let taken = replies.iter().filter(|(_, _, reply)| reply.outcome.is_some());
     let silent: Vec<u32> = replies
         .iter()
-        .filter(|(_, _, reply)| reply.taken.is_none())
+        .filter(|(_, _, reply)| reply.outcome.is_none())
         .map(|(rank, ..)| *rank)
         .collect();
     let refused = replies
         .iter()
-        .filter(|(_, _, reply)| reply.taken.is_some_and(|taken| taken != OrderOutcome::Accepted));
-    let lacking = replies.iter().filter(|(_, _, reply)| reply.lacks).count();
+        .filter(|(_, _, reply)| reply.outcome.is_some_and(|taken| taken != OrderOutcome::Accepted));
+    let lacking = replies.iter().filter(|(_, _, reply)| reply.needs_map).count();
     info!(sidecar.log, "orders answered"; "group" => &shared.group, "answered" => taken.count(),
         "refused" => refused.count(), "lacking" => lacking, "silent" => silent.len(),
         "first_silent" => silent.first());
--- a/src/mastweir/sidecar/poll.rs
+++ b/src/mastweir/sidecar/poll.rs
@@ -36,11 +36,11 @@
         return;
     }
     let now = sidecar.clock.now();
-    let Poll { lead, token, round, .. } = poll;
+    let Poll { coordinator: lead, token, round, .. } = poll;
     let heard = Heard { lead, group: poll.group.clone(), token, round, at: now };
     *sidecar.heard.borrow_mut() = Some(heard);
     sidecar.polled.set(now);
-    if poll.section.is_empty() {
+    if poll.subtree.is_empty() {
         task::spawn_local(answer(sidecar.clone(), poll, from));
     } else {
         task::spawn_local(answer_for_section(sidecar.clone(), poll));
@@ -61,11 +61,11 @@
 /// Asks the others, and answers once they have, or have had their time.
 pub async fn answer_for_section(sidecar: Rc<Sidecar>, poll: Poll) {
     let round = poll.round;
-    let waiting: HashSet<IpAddr> = poll.section.iter().copied().chain([sidecar.ip]).collect();
+    let waiting: HashSet<IpAddr> = poll.subtree.iter().copied().chain([sidecar.ip]).collect();
     let mut passed_on = poll.clone();
-    passed_on.section.clear();
+    passed_on.subtree.clear();
     let message = Message::Poll(passed_on.clone());
-    poll.section.iter().for_each(|ip| sidecar.send(*ip, &message));
+    poll.subtree.iter().for_each(|ip| sidecar.send(*ip, &message));
     let before = sidecar.answers.borrow_mut().begin(poll, waiting);
     before.into_iter().for_each(|before| send_on(&sidecar, &before));
     let own = read(&sidecar, &passed_on).await;
@@ -103,11 +103,11 @@
     let states = ranks.chunks(RANKS_PER_DATAGRAM).map(|ranks| report(ranks, Counts::default()));
     let sums = parts(sums).into_iter().map(|counts| report(&[], counts));
     for message in states.chain(sums) {
-        if poll.lead == sidecar.ip {
+        if poll.coordinator == sidecar.ip {
             // A coordinator that is behind gets the next one.
             let _ = sidecar.reports.try_send(message);
         } else {
-            sidecar.send(poll.lead, &message);
+            sidecar.send(poll.coordinator, &message);
         }
     }
 }
@@ -116,12 +116,12 @@
 fn parts(counts: &[u32]) -> VecDeque<Counts> {
     let all = counts.chunks(COUNTS_PER_DATAGRAM).enumerate();
     let part = |(number, part): (usize, &[u32])| Counts {
-        from: u32::try_from(number * COUNTS_PER_DATAGRAM).unwrap_or(u32::MAX),
+        offset: u32::try_from(number * COUNTS_PER_DATAGRAM).unwrap_or(u32::MAX),
         counts: part.to_vec(),
-        last: (number + 1) * COUNTS_PER_DATAGRAM >= counts.len(),
+        is_last: (number + 1) * COUNTS_PER_DATAGRAM >= counts.len(),
     };
     let parts: VecDeque<Counts> = all.map(part).collect();
-    if parts.is_empty() { [Counts { last: true, ..Counts::default() }].into() } else { parts }
+    if parts.is_empty() { [Counts { is_last: true, ..Counts::default() }].into() } else { parts }
 }
 
 /// Reads the server beside, for a poll.
@@ -158,8 +158,8 @@
         server: sidecar.server,
         state: rank,
         load: state.running + state.waiting,
-        pace_milli: state.pace_milli,
-        born: state.born,
+        slowdown_milli: state.pace_milli,
+        incarnation: state.born,
         read_at,
     })
 }
@@ -170,7 +170,7 @@
     let Some(state) = state.as_ref() else { return };
     let Some(group) = &state.group else { return };
     let rank = brief(sidecar, state, group, sidecar.clock.now());
-    let counts = Counts { last: true, ..Counts::default() };
+    let counts = Counts { is_last: true, ..Counts::default() };
     let report = RankReport { group: group.clone(), round: 0, rank, counts };
     sidecar.send(lead, &Message::Rank(report));
 }
--- a/src/mastweir/sidecar/polling.rs
+++ b/src/mastweir/sidecar/polling.rs
@@ -75,11 +75,11 @@
         let asked = Poll {
             group: shared.group.clone(),
             token: shared.token,
-            lead: sidecar.ip,
+            coordinator: sidecar.ip,
             round: known.round,
             since,
             sets,
-            section: Known::rest(&section),
+            subtree: Known::rest(&section),
         };
         if head.ip() == sidecar.ip {
             poll::polled(sidecar, asked, sidecar.ip);
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -107,7 +107,8 @@
         limit: state.limit.rate(),
     };
     let lead = sidecar.lead_seen();
-    let report = Message::Report(ServerReport { server: sidecar.server, told, lead });
+    let report =
+        Message::Report(ServerReport { server: sidecar.server, load: told, coordinator: lead });
     for ip in sidecar.speakers.borrow_mut().expire(now) {
         info!(sidecar.log, "speaker lost"; "peer" => %ip);
     }
@@ -153,5 +154,5 @@
     if greeting.model.is_some() {
         *sidecar.model.borrow_mut() = greeting.model;
     }
-    greeting.lead.into_iter().for_each(|lead| sidecar.hear_of(lead));
+    greeting.coordinator.into_iter().for_each(|lead| sidecar.hear_of(lead));
 }
--- a/src/mastweir/sidecar/ranks.rs
+++ b/src/mastweir/sidecar/ranks.rs
@@ -135,8 +135,8 @@
             read_at: Some(brief.read_at),
             state: brief.state,
             load: brief.load,
-            pace_milli: brief.pace_milli,
-            born: brief.born,
+            pace_milli: brief.slowdown_milli,
+            born: brief.incarnation,
         });
     }
 
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/answers.rs
@@ -16,11 +16,11 @@
     Poll {
         group: "g".to_owned(),
         token: 1,
-        lead: ip(99),
+        coordinator: ip(99),
         round,
         since: 0,
         sets: Some((0, 1)),
-        section: vec![ip(2), ip(3)],
+        subtree: vec![ip(2), ip(3)],
     }
 }
 
@@ -30,11 +30,11 @@
         server: SocketAddr::new(ip(number), 80),
         state,
         load: 1,
-        born: 0,
-        pace_milli: 1_000,
+        incarnation: 0,
+        slowdown_milli: 1_000,
         read_at: Uptime::default(),
     };
-    let counts = Counts { from: 0, counts, last: true };
+    let counts = Counts { offset: 0, counts, is_last: true };
     RankReport { group: "g".to_owned(), round, rank: Some(rank), counts }
 }
 
@@ -77,9 +77,9 @@
 #[googletest::test]
 fn foreign_counts_are_bounded() {
     let mut sums = Vec::new();
-    add_counts(&mut sums, &Counts { from: u32::MAX, counts: vec![1; 400], last: true });
+    add_counts(&mut sums, &Counts { offset: u32::MAX, counts: vec![1; 400], is_last: true });
     expect_that!(sums.len(), eq(0));
-    add_counts(&mut sums, &Counts { from: 2, counts: vec![u32::MAX], last: true });
-    add_counts(&mut sums, &Counts { from: 2, counts: vec![7], last: true });
+    add_counts(&mut sums, &Counts { offset: 2, counts: vec![u32::MAX], is_last: true });
+    add_counts(&mut sums, &Counts { offset: 2, counts: vec![7], is_last: true });
     expect_that!(sums, eq(&vec![0, 0, u32::MAX]));
 }
--- a/tests/testsuite/circles.rs
+++ b/tests/testsuite/circles.rs
@@ -48,11 +48,11 @@
         config: 0,
         directory: Revision::default(),
         leaving: false,
-        asks,
-        follows,
-        in_hall: 1,
-        in_all: 1,
-        known: Vec::new(),
+        wants_reply: asks,
+        is_follower: follows,
+        hall_size: 1,
+        fleet_size: 1,
+        known_peers: Vec::new(),
     })
 }
 
@@ -75,7 +75,7 @@
     world.say(&follower, &hello("hall-a", false, true)).await?;
     world.say(&speaker, &hello("hall-a", false, false)).await?;
     let pace = |word| {
-        Message::Forecast(PassForecast { group: "g".to_owned(), word: (7, word), pass_ms: 90 })
+        Message::Forecast(PassForecast { group: "g".to_owned(), sequence: (7, word), pass_ms: 90 })
     };
     // The same word comes round again and again, and an older one behind it.
     for word in [4, 4, 4, 3, 4] {
@@ -97,7 +97,8 @@
     let other = world.peer(1).await?;
     world.say(&other, &hello("hall-z", true, false)).await?;
     let answers = heard(&other).await;
-    let is_answer = |message: &&Message| matches!(message, Message::Hello(hello) if !hello.asks);
+    let is_answer =
+        |message: &&Message| matches!(message, Message::Hello(hello) if !hello.wants_reply);
     expect_that!(answers.iter().filter(is_answer).count(), eq(1));
     Ok(())
 }
--- a/tests/testsuite/incarnations.rs
+++ b/tests/testsuite/incarnations.rs
@@ -119,7 +119,7 @@
 fn poll(round: u64, since: u64) -> Poll {
     let lead = IpAddr::from([10, 0, 0, 9]);
     let (group, section) = ("g".to_owned(), Vec::new());
-    Poll { group, token: 1, lead, round, since, sets: Some((0, 1)), section }
+    Poll { group, token: 1, coordinator: lead, round, since, sets: Some((0, 1)), subtree: section }
 }
 
 #[googletest::test]
@@ -140,8 +140,8 @@
         server: ([10, 0, 0, 1], 80).into(),
         state: RankState { epoch: 2, size: 1, open: true, ..RankState::default() },
         load: 0,
-        pace_milli: 1_000,
-        born,
+        slowdown_milli: 1_000,
+        incarnation: born,
         read_at,
     };
     let is_busy = |ranks: &Ranks| {
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -47,8 +47,8 @@
         server: server(number),
         state,
         load: 100,
-        pace_milli: 20_000,
-        born: 1_790_000_000_000,
+        slowdown_milli: 20_000,
+        incarnation: 1_790_000_000_000,
         read_at,
     }
 }
@@ -62,7 +62,7 @@
 }
 
 fn counts(count: u32, of: usize) -> Counts {
-    Counts { from: 100_000, counts: vec![count; of], last: true }
+    Counts { offset: 100_000, counts: vec![count; of], is_last: true }
 }
 
 #[googletest::test]
@@ -80,11 +80,11 @@
     let poll = Message::Poll(Poll {
         group: group(),
         token: 900,
-        lead: ip(1),
+        coordinator: ip(1),
         round: 20_000_000,
         since: 19_999_999,
         sets: Some((12, 16)),
-        section: (0..longest).map(ip).collect(),
+        subtree: (0..longest).map(ip).collect(),
     });
     let rank = Message::Rank(RankReport {
         group: group(),
@@ -118,7 +118,7 @@
         limit: Rate::per_second(1e9),
     };
     let load =
-        |at| ServerLoad { server: server(at), age_ms: 9_000, group: Some(3), told: told.clone() };
+        |at| ServerLoad { server: server(at), age_ms: 9_000, group: Some(3), load: told.clone() };
     let lead = |at| CoordinatorSeen {
         group: group(),
         token: 900,
@@ -129,9 +129,10 @@
     let loads = Message::Loads(Loads {
         groups: (0..4).map(|_| group()).collect(),
         loads: (0..LOADS_PER_DATAGRAM).map(load).collect(),
-        leads: Vec::new(),
+        coordinators: Vec::new(),
     });
-    let leads = Message::Loads(Loads { leads: (0..16).map(lead).collect(), ..Loads::default() });
+    let leads =
+        Message::Loads(Loads { coordinators: (0..16).map(lead).collect(), ..Loads::default() });
     let named = |at| PeerInfo { ip: ip(at), hall: "region-1-hall-a".to_owned(), power: 16_000 };
     let hello = Message::Hello(Hello {
         hall: "region-1-hall-a".to_owned(),
@@ -139,11 +140,11 @@
         config: 1_000_000,
         directory: Revision::new(1 << 20, 1 << 40),
         leaving: false,
-        asks: true,
-        follows: true,
-        in_hall: 59,
-        in_all: 410,
-        known: (0..42).map(named).collect(),
+        wants_reply: true,
+        is_follower: true,
+        hall_size: 59,
+        fleet_size: 410,
+        known_peers: (0..42).map(named).collect(),
     });
     let id = |at: usize| format!("i-{:020}", u64::MAX - at as u64);
     let limits = Message::Limits(
@@ -161,12 +162,12 @@
     let asked = 28;
     let borrow = Message::RequestPermits(RequestPermits {
         number: u64::MAX,
-        wants: (0..asked).map(|at| (id(at), 64)).collect(),
+        wanted: (0..asked).map(|at| (id(at), 64)).collect(),
     });
     let loan = |at| ServerGrant { server: id(at), count: 0, wait_ms: 4_000 };
     let lent = Message::GrantPermits(GrantPermits {
         number: u64::MAX,
-        loans: (0..asked).map(loan).collect(),
+        grants: (0..asked).map(loan).collect(),
     });
     for message in [&poll, &rank, &states, &sums, &loads, &leads, &hello, &limits, &borrow, &lent] {
         expect_that!(size(message), le(DATAGRAM_MAX), "{message:?}");
--- a/tests/testsuite/suspension.rs
+++ b/tests/testsuite/suspension.rs
@@ -160,7 +160,8 @@
     loop {
         for server in servers.iter().filter(|_| is_sending.load(Ordering::SeqCst)) {
             let told = LoadReport { running: 3, group_open: true, ..LoadReport::default() };
-            let report = Message::Report(ServerReport { server: *server, told, lead: None });
+            let report =
+                Message::Report(ServerReport { server: *server, load: told, coordinator: None });
             socket.send_to(&postcard::to_stdvec(&report)?, gateway).await?;
         }
         time::sleep(Duration::from_millis(50)).await;
