--- a/src/mastweir/entry/admit.rs
+++ b/src/mastweir/entry/admit.rs
@@ -1,6 +1,6 @@
 //! Limits of a customer, at this entry's part of them.
 
-use super::{Shared, lock, problem::Kind};
+use super::{Shared, lock, problem::ProblemKind};
 use mastweir_core::{
     share::{LimitShare, TokenBucket},
     table::Customer,
@@ -10,11 +10,11 @@
 use std::{collections::HashMap, sync::Arc};
 
 /// Seconds after which to come back when over the share.
-const OVER_SHARE_S: u32 = 2;
+const OVER_SHARE_RETRY_S: u32 = 2;
 
 /// What a customer has at this entry.
 #[derive(Debug)]
-struct Held {
+struct CustomerUsage {
     inflight: u32,
     waiting: u32,
     bucket: TokenBucket,
@@ -23,24 +23,24 @@
 /// All customers that have something.
 #[derive(Debug, Default)]
 pub struct Limits {
-    held: HashMap<String, Held>,
+    customers: HashMap<String, CustomerUsage>,
 }
 
 /// A request that was let in. Dropping it gives its place back.
 #[derive(Debug)]
-pub struct Admitted {
+pub struct AdmissionGuard {
     shared: Arc<Shared>,
     customer: String,
     estimate: u32,
-    waits: bool,
-    settled: bool,
+    is_waiting: bool,
+    is_settled: bool,
 }
 
 /// Why a request was not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
     /// The kind of problem.
-    pub kind: Kind,
+    pub kind: ProblemKind,
     /// Seconds after which to come back.
     pub retry_after: Option<u32>,
 }
@@ -55,97 +55,104 @@
     name: &str,
     row: &Customer,
     estimate: u32,
-) -> Result<Admitted, Denied> {
+) -> Result<AdmissionGuard, Denied> {
     if estimate > row.largest {
-        return Err(Denied { kind: Kind::TooLarge, retry_after: None });
+        return Err(Denied { kind: ProblemKind::TooLarge, retry_after: None });
     }
     let (own, total) = lock(&shared.usage).rates(name);
-    let part = LimitShare::from_usage(own, total, lock(&shared.view).entries());
+    let share = LimitShare::from_usage(own, total, lock(&shared.view).entry_count());
     let now = shared.context.clock.now();
-    let estimate = lock(&shared.usage).expect(name, estimate);
-    let taken = lock(&shared.limits).take(name, row, part, estimate, now);
-    let start = rand::rng().random_range(0.0..1.0);
-    let in_share = lock(&shared.usage).ask(name, row.weight, estimate, start);
-    taken?;
-    let admitted = Admitted {
+    let estimate = lock(&shared.usage).estimate(name, estimate);
+    let acquired = lock(&shared.limits).try_acquire(name, row, share, estimate, now);
+    let draw = rand::rng().random_range(0.0..1.0);
+    let in_share = lock(&shared.usage).admit(name, row.weight, estimate, draw);
+    acquired?;
+    let guard = AdmissionGuard {
         shared: shared.clone(),
         customer: name.to_owned(),
         estimate,
-        waits: true,
-        settled: false,
+        is_waiting: true,
+        is_settled: false,
     };
     // Over its share while the servers are full: refused before it is sent.
     if !in_share {
-        return Err(Denied { kind: Kind::Overloaded, retry_after: Some(OVER_SHARE_S) });
+        return Err(Denied {
+            kind: ProblemKind::Overloaded,
+            retry_after: Some(OVER_SHARE_RETRY_S),
+        });
     }
-    Ok(admitted)
+    Ok(guard)
 }
 
 impl Limits {
     /// Requests of a customer in flight at this entry.
     pub fn inflight(&self, name: &str) -> u32 {
-        self.held.get(name).map_or(0, |held| held.inflight)
+        self.customers.get(name).map_or(0, |usage| usage.inflight)
     }
 
-    fn take(
+    fn try_acquire(
         &mut self,
         name: &str,
         row: &Customer,
-        part: LimitShare,
+        share: LimitShare,
         estimate: u32,
         now: Uptime,
     ) -> Result<(), Denied> {
-        let rate = part.apply(u64::from(row.units_s)) as f64;
-        let burst = part.apply(u64::from(row.burst.max(1))) as f64;
-        let born = || Held { inflight: 0, waiting: 0, bucket: TokenBucket::new(rate, burst, now) };
-        let held = self.held.entry(name.to_owned()).or_insert_with(born);
-        let soon = Denied { kind: Kind::Limit, retry_after: Some(1) };
-        if u64::from(held.inflight) >= part.apply(u64::from(row.inflight)) {
-            return Err(soon);
+        let rate = share.apply(u64::from(row.units_s)) as f64;
+        let burst = share.apply(u64::from(row.burst.max(1))) as f64;
+        let new_usage = || CustomerUsage {
+            inflight: 0,
+            waiting: 0,
+            bucket: TokenBucket::new(rate, burst, now),
+        };
+        let usage = self.customers.entry(name.to_owned()).or_insert_with(new_usage);
+        let limited = Denied { kind: ProblemKind::Limit, retry_after: Some(1) };
+        if u64::from(usage.inflight) >= share.apply(u64::from(row.inflight)) {
+            return Err(limited);
         }
-        if u64::from(held.waiting) >= part.apply(u64::from(row.queue)) {
-            return Err(soon);
+        if u64::from(usage.waiting) >= share.apply(u64::from(row.queue)) {
+            return Err(limited);
         }
-        held.bucket.set_rate(rate, burst, now);
-        if let Err(wait) = held.bucket.take(f64::from(estimate), now) {
+        usage.bucket.set_rate(rate, burst, now);
+        if let Err(wait) = usage.bucket.take(f64::from(estimate), now) {
             let wait = wait.ceil().min(3_600.0) as u32;
-            return Err(Denied { kind: Kind::Limit, retry_after: Some(wait) });
+            return Err(Denied { kind: ProblemKind::Limit, retry_after: Some(wait) });
         }
-        held.inflight += 1;
-        held.waiting += 1;
+        usage.inflight += 1;
+        usage.waiting += 1;
         Ok(())
     }
 }
 
-impl Admitted {
+impl AdmissionGuard {
     /// The answer has begun.
-    pub fn begins(&mut self) {
-        if !std::mem::replace(&mut self.waits, false) {
+    pub fn mark_answering(&mut self) {
+        if !std::mem::replace(&mut self.is_waiting, false) {
             return;
         }
-        if let Some(held) = lock(&self.shared.limits).held.get_mut(&self.customer) {
-            held.waiting = held.waiting.saturating_sub(1);
+        if let Some(usage) = lock(&self.shared.limits).customers.get_mut(&self.customer) {
+            usage.waiting = usage.waiting.saturating_sub(1);
         }
     }
 
     /// It has cost this much.
     pub fn settle(&mut self, units: u32) {
-        self.settled = true;
-        lock(&self.shared.usage).received(&self.customer, self.estimate, units);
-        if let Some(held) = lock(&self.shared.limits).held.get_mut(&self.customer) {
-            held.bucket.settle(f64::from(self.estimate), f64::from(units));
+        self.is_settled = true;
+        lock(&self.shared.usage).record_cost(&self.customer, self.estimate, units);
+        if let Some(usage) = lock(&self.shared.limits).customers.get_mut(&self.customer) {
+            usage.bucket.settle(f64::from(self.estimate), f64::from(units));
         }
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        self.begins();
-        if !self.settled {
+        self.mark_answering();
+        if !self.is_settled {
             self.settle(0);
         }
         let mut limits = lock(&self.shared.limits);
-        let Some(held) = limits.held.get_mut(&self.customer) else { return };
-        held.inflight = held.inflight.saturating_sub(1);
+        let Some(usage) = limits.customers.get_mut(&self.customer) else { return };
+        usage.inflight = usage.inflight.saturating_sub(1);
     }
 }
--- a/src/mastweir/entry/attempt.rs
+++ b/src/mastweir/entry/attempt.rs
@@ -11,7 +11,7 @@
 
 /// An attempt whose order has left.
 #[derive(Debug)]
-pub struct Link {
+pub struct AttemptChannel {
     channel: Channel,
     addr: SocketAddr,
     server: String,
@@ -19,7 +19,7 @@
 
 /// An event and what came with it.
 #[derive(Debug)]
-pub struct Came {
+pub struct AttemptEvent {
     /// The event.
     pub event: Event,
     /// Bytes of a unit.
@@ -27,40 +27,40 @@
     /// Status and content type of a head.
     pub head: Option<(u16, Option<String>)>,
     /// What the request has cost, at its end.
-    pub spent: Option<RequestCost>,
+    pub cost: Option<RequestCost>,
     /// The life of an engine that ended under it.
-    pub ended: Option<Fingerprint>,
+    pub crashed_engine: Option<Fingerprint>,
 }
 
-impl Came {
-    const fn bare(event: Event) -> Self {
-        Self { event, bytes: Vec::new(), head: None, spent: None, ended: None }
+impl AttemptEvent {
+    const fn from_event(event: Event) -> Self {
+        Self { event, bytes: Vec::new(), head: None, cost: None, crashed_engine: None }
     }
 }
 
 /// Opens a channel to a server's agent. Nothing of the order leaves yet.
-pub async fn open(shared: &Shared, server: &str) -> Result<Link, ChannelError> {
+pub async fn open(shared: &Shared, server: &str) -> Result<AttemptChannel, ChannelError> {
     let addr = lock(&shared.view).instance(server).map(|spec| spec.tcp);
     let addr = addr.ok_or(ChannelError::Closed)?;
     let channel = shared.pool.get(addr).await?;
-    Ok(Link { channel, addr, server: server.to_owned() })
+    Ok(AttemptChannel { channel, addr, server: server.to_owned() })
 }
 
-impl Link {
+impl AttemptChannel {
     /// Sends the order and its body.
     pub async fn start(&mut self, start: Start, body: &[u8]) -> Result<(), ChannelError> {
         self.channel.sender.send(&ToAgent::Start(Box::new(start))).await?;
-        for piece in body.chunks(CHUNK_MAX) {
-            self.channel.sender.send(&ToAgent::Body(piece.to_vec())).await?;
+        for chunk in body.chunks(CHUNK_MAX) {
+            self.channel.sender.send(&ToAgent::Body(chunk.to_vec())).await?;
         }
         Ok(())
     }
 
     /// Waits for what comes next. Reports that ride on it are taken in.
-    pub async fn next(&mut self, shared: &Shared) -> Came {
+    pub async fn next(&mut self, shared: &Shared) -> AttemptEvent {
         match self.channel.receiver.recv().await {
-            Ok(frame) => self.read(shared, frame),
-            Err(_) => Came::bare(Event::Lost),
+            Ok(frame) => self.to_event(shared, frame),
+            Err(_) => AttemptEvent::from_event(Event::Lost),
         }
     }
 
@@ -71,40 +71,46 @@
     }
 
     /// Gives the channel back, after an end.
-    pub fn give_back(self, shared: &Shared) {
+    pub fn release(self, shared: &Shared) {
         shared.pool.put(self.addr, self.channel);
     }
 
-    fn read(&self, shared: &Shared, frame: FromAgent) -> Came {
+    fn to_event(&self, shared: &Shared, frame: FromAgent) -> AttemptEvent {
         match frame {
-            FromAgent::Refused(why, load) => {
-                self.report(shared, &load);
-                Came::bare(Event::Refused(why))
+            FromAgent::Refused(reason, load) => {
+                self.record_load(shared, &load);
+                AttemptEvent::from_event(Event::Refused(reason))
             }
-            FromAgent::Head { status, content_type } => {
-                Came { head: Some((status, content_type)), ..Came::bare(Event::Head) }
+            FromAgent::Head { status, content_type } => AttemptEvent {
+                head: Some((status, content_type)),
+                ..AttemptEvent::from_event(Event::Head)
+            },
+            FromAgent::Chunk { at, bytes } => {
+                AttemptEvent { bytes, ..AttemptEvent::from_event(Event::Chunk { at }) }
             }
-            FromAgent::Chunk { at, bytes } => Came { bytes, ..Came::bare(Event::Chunk { at }) },
-            FromAgent::End(spent, load) => {
-                self.report(shared, &load);
-                Came { spent: Some(spent), ..Came::bare(Event::End) }
+            FromAgent::End(cost, load) => {
+                self.record_load(shared, &load);
+                AttemptEvent { cost: Some(cost), ..AttemptEvent::from_event(Event::End) }
             }
             FromAgent::Broken(load) => {
-                self.report(shared, &load);
-                Came::bare(Event::Lost)
+                self.record_load(shared, &load);
+                AttemptEvent::from_event(Event::Lost)
             }
             FromAgent::EngineCrashed(load) => {
-                self.report(shared, &load);
+                self.record_load(shared, &load);
                 // An engine says nothing of its lives; one that ends does so at one moment.
-                let life = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
-                Came { ended: Some(Fingerprint::of_incarnation(&life)), ..Came::bare(Event::Lost) }
+                let engine = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
+                AttemptEvent {
+                    crashed_engine: Some(Fingerprint::of_incarnation(&engine)),
+                    ..AttemptEvent::from_event(Event::Lost)
+                }
             }
-            FromAgent::Rank(_) => Came::bare(Event::Lost),
+            FromAgent::Rank(_) => AttemptEvent::from_event(Event::Lost),
         }
     }
 
-    fn report(&self, shared: &Shared, load: &Load) {
+    fn record_load(&self, shared: &Shared, load: &Load) {
         let now = shared.context.clock.now();
-        lock(&shared.view).report(&self.server, load, now);
+        lock(&shared.view).record_report(&self.server, load, now);
     }
 }
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -5,17 +5,17 @@
 //! the handler that started it: a whole answer, the beginning of a stream, or a
 //! problem.
 
-mod lines;
-mod start;
+mod log;
+mod start_frame;
 
 use super::{
     Shared,
-    admit::Admitted,
-    attempt::{self, Came, Link},
-    keys::{self, Places},
+    admit::AdmissionGuard,
+    attempt::{self, AttemptChannel, AttemptEvent},
+    keys::{self, BoundOperation},
     lock,
-    order::Order,
-    problem::{Kind, Problem},
+    parsed_request::ParsedRequest,
+    problem::{Problem, ProblemKind},
     reply::Reply,
 };
 use bytes::Bytes;
@@ -39,9 +39,9 @@
 /// Bytes of an answer that is not a stream at most.
 const ANSWER_MAX: usize = 4 << 20;
 /// Units of a stream between the server and a slow caller.
-const STREAM_ROOM: usize = 32;
+const STREAM_BUFFER: usize = 32;
 /// Silence between two units of a stream that counts as a stall.
-const STALL: Duration = Duration::from_millis(1_500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// What the agent has less of a deadline than the entry: its refusal comes in
 /// time, and proves that the request did not run.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
@@ -50,41 +50,41 @@
 /// A call in progress.
 struct Driver {
     shared: Arc<Shared>,
-    order: Order,
-    admitted: Admitted,
+    request: ParsedRequest,
+    admission: AdmissionGuard,
     op: OpId,
     bindings: Vec<Binding>,
     deadline: Uptime,
-    link: Option<Link>,
+    channel: Option<AttemptChannel>,
     tried: Vec<String>,
     reply: Option<oneshot::Sender<Reply>>,
     stream: Option<mpsc::Sender<Bytes>>,
-    head: (u16, Option<String>),
+    answer_head: (u16, Option<String>),
     body: Vec<u8>,
 }
 
 /// Runs a request to its end.
 pub async fn run(
     shared: Arc<Shared>,
-    order: Order,
-    admitted: Admitted,
+    request: ParsedRequest,
+    admission: AdmissionGuard,
     reply: oneshot::Sender<Reply>,
 ) {
     shared.active.fetch_add(1, Ordering::SeqCst);
     lock(&shared.budget).deposit();
-    let limit = Duration::from_millis(u64::from(order.service.deadline_ms));
+    let limit = Duration::from_millis(u64::from(request.service.deadline_ms));
     let mut driver = Driver {
         deadline: shared.context.clock.now() + limit,
         shared: shared.clone(),
         op: OpId([0; 16]),
         bindings: Vec::new(),
-        order,
-        admitted,
-        link: None,
+        request,
+        admission,
+        channel: None,
         tried: Vec::new(),
         reply: Some(reply),
         stream: None,
-        head: (0, None),
+        answer_head: (0, None),
         body: Vec::new(),
     };
     driver.run().await;
@@ -95,41 +95,41 @@
     async fn run(&mut self) {
         // Its caller may have submitted it before, here or at another entry.
         if self.is_quarantined() {
-            return self.refuse(Kind::Quarantined).await;
+            return self.reject(ProblemKind::Quarantined).await;
         }
-        if self.order.service.repeatable {
-            let resumable = self.order.service.resumable && self.order.streamed;
-            let end = self.drive(Call::new(RetryPolicy::Repeatable { resumable })).await;
-            return self.conclude(end).await;
+        if self.request.service.repeatable {
+            let resumable = self.request.service.resumable && self.request.streamed;
+            let result = self.drive(Call::new(RetryPolicy::Repeatable { resumable })).await;
+            return self.report_outcome(result).await;
         }
-        let places = match keys::places(&self.shared, &self.order).await {
-            Ok(places) => places,
-            Err(kind) => return self.refuse(kind).await,
+        let bound = match keys::resolve(&self.shared, &self.request).await {
+            Ok(bound) => bound,
+            Err(kind) => return self.reject(kind).await,
         };
-        let former = places.former.clone();
-        let end = self.once(places).await;
-        let Some(former) = former.filter(|_| end.0 == Outcome::NotRun) else {
-            return self.conclude(end).await;
+        let existing = bound.existing.clone();
+        let result = self.run_at_most_once(bound).await;
+        let Some(existing) = existing.filter(|_| result.0 == Outcome::NotRun) else {
+            return self.report_outcome(result).await;
         };
         // An earlier submission was refused everywhere, which is final for
         // those places. This one may run at others.
-        match keys::rebind(&self.shared, &self.order, &former).await {
-            Ok(places) => {
-                let end = self.once(places).await;
-                self.conclude(end).await;
+        match keys::rebind(&self.shared, &self.request, &existing).await {
+            Ok(bound) => {
+                let result = self.run_at_most_once(bound).await;
+                self.report_outcome(result).await;
             }
-            Err(kind) => self.refuse(kind).await,
+            Err(kind) => self.reject(kind).await,
         }
     }
 
-    async fn once(&mut self, places: Places) -> (Outcome, Option<Evidence>) {
-        if let Some(chosen) = &places.chosen {
+    async fn run_at_most_once(&mut self, bound: BoundOperation) -> (Outcome, Option<Evidence>) {
+        if let Some(chosen) = &bound.chosen {
             self.log_choice(chosen);
         }
-        let fences = places.bindings.iter().map(|binding| binding.fence.clone()).collect();
-        self.op = places.op;
-        self.bindings = places.bindings;
-        self.drive(Call::new(RetryPolicy::AtMostOnce { fences, exclusive: places.private })).await
+        let fences = bound.bindings.iter().map(|binding| binding.fence.clone()).collect();
+        self.op = bound.op;
+        self.bindings = bound.bindings;
+        self.drive(Call::new(RetryPolicy::AtMostOnce { fences, exclusive: bound.exclusive })).await
     }
 
     /// Feeds the call until it finishes.
@@ -142,22 +142,22 @@
                     call.routed(fence)
                 }
                 Action::Connect { fence, from, wait } => {
-                    self.open(&mut call, &fence, from, wait).await
+                    self.connect(&mut call, &fence, from, wait).await
                 }
-                Action::Wait => self.read(&mut call).await,
+                Action::Wait => self.receive(&mut call).await,
                 Action::ForwardHead => {
-                    self.deliver_head(&mut call);
-                    self.read(&mut call).await
+                    self.forward_head(&mut call);
+                    self.receive(&mut call).await
                 }
-                Action::ForwardChunk => self.deliver(&mut call).await,
+                Action::ForwardChunk => self.forward_chunk(&mut call).await,
                 Action::Finish { outcome, evidence, cancel } => {
                     if outcome == Outcome::Unknown {
                         // Charged for what came of it, its prompt at least.
-                        let cost = self.order.service.cost;
+                        let cost = self.request.service.cost;
                         let decoded = cost.units(0, call.delivered());
-                        self.admitted.settle(self.order.prefill.saturating_add(decoded));
+                        self.admission.settle(self.request.prefill.saturating_add(decoded));
                     }
-                    self.close(outcome, evidence, cancel).await;
+                    self.end_attempt(outcome, evidence, cancel).await;
                     return (outcome, evidence);
                 }
             };
@@ -167,14 +167,14 @@
     /// Whether engines ended under the request, so that it goes to no other.
     fn is_quarantined(&self) -> bool {
         let now = self.shared.context.clock.now();
-        let mut suspects = lock(&self.shared.suspects);
-        if suspects.is_empty() {
+        let mut poison_requests = lock(&self.shared.poison_requests);
+        if poison_requests.is_empty() {
             return false;
         }
-        let quarantine = suspects.quarantine(self.order.fingerprint(), now);
-        if let Some(Quarantine { crashes: ends, age, .. }) = quarantine {
-            slog::info!(self.shared.context.log, "quarantined request refused"; "request" => &self.order.id,
-                "fingerprint" => %self.order.fingerprint(), "ends" => ends,
+        let quarantine = poison_requests.quarantine(self.request.fingerprint(), now);
+        if let Some(Quarantine { crashes, age, .. }) = quarantine {
+            slog::info!(self.shared.context.log, "quarantined request refused"; "request" => &self.request.id,
+                "fingerprint" => %self.request.fingerprint(), "ends" => crashes,
                 "age_ms" => age.as_millis() as u64);
         }
         quarantine.is_some()
@@ -188,19 +188,25 @@
             let view = lock(&self.shared.view);
             let now = self.shared.context.clock.now();
             let mut rng = lock(&self.shared.rng);
-            let request = self.order.routing(&self.tried);
-            view.choose(&self.order.service_name, &request, now, &mut *rng)
+            let request = self.request.routing(&self.tried);
+            view.choose(&self.request.service_name, &request, now, &mut *rng)
         };
         match &chosen {
             Some(chosen) => self.log_choice(chosen),
-            None => self.log_none(),
+            None => self.log_no_server(),
         }
         chosen.map(|chosen| chosen.fence)
     }
 
-    async fn open(&mut self, call: &mut Call, fence: &Fence, from: u64, wait: Duration) -> Action {
-        if let Some(link) = self.link.take() {
-            drop(link);
+    async fn connect(
+        &mut self,
+        call: &mut Call,
+        fence: &Fence,
+        from: u64,
+        wait: Duration,
+    ) -> Action {
+        if let Some(channel) = self.channel.take() {
+            drop(channel);
         }
         if !wait.is_zero() {
             let jitter = rand::rng().random_range(0.5..1.5);
@@ -208,158 +214,164 @@
         }
         let now = self.shared.context.clock.now();
         if now >= self.deadline {
-            return self.feed(call, Event::Deadline);
+            return self.handle(call, Event::Deadline);
         }
         self.tried.push(fence.server.clone());
         let opened = attempt::open(&self.shared, &fence.server).await;
-        let Ok(mut link) = opened else {
-            self.signal(&fence.server, Signal::Failed);
-            return self.feed(call, Event::ConnectFailed);
+        let Ok(mut channel) = opened else {
+            self.record_signal(&fence.server, Signal::Failed);
+            return self.handle(call, Event::ConnectFailed);
         };
-        let opened = self.feed(call, Event::Connected);
-        let service = &self.order.service_name;
-        lock(&self.shared.view).sent(service, &fence.server, self.order.cost, now);
-        if link.start(self.start(fence, from), &self.order.body).await.is_err() {
-            self.signal(&fence.server, Signal::Failed);
-            return self.feed(call, Event::Lost);
+        let action = self.handle(call, Event::Connected);
+        let service = &self.request.service_name;
+        lock(&self.shared.view).record_sent(service, &fence.server, self.request.cost, now);
+        if channel.start(self.start_frame(fence, from), &self.request.body).await.is_err() {
+            self.record_signal(&fence.server, Signal::Failed);
+            return self.handle(call, Event::Lost);
         }
-        self.link = Some(link);
-        opened
+        self.channel = Some(channel);
+        action
     }
 
-    async fn read(&mut self, call: &mut Call) -> Action {
-        let Some(link) = &mut self.link else { return self.feed(call, Event::Lost) };
+    async fn receive(&mut self, call: &mut Call) -> Action {
+        let Some(channel) = &mut self.channel else { return self.handle(call, Event::Lost) };
         let clock = &self.shared.context.clock;
-        let left = self.deadline.since(clock.now());
-        let resumable = self.order.service.resumable && self.stream.is_some();
-        let patience = if resumable { left.min(STALL) } else { left };
-        let next = clock.timeout_at(clock.now() + patience, link.next(&self.shared));
-        let Ok(came) = next.await else {
-            return self.silence(call, patience < left).await;
+        let remaining = self.deadline.since(clock.now());
+        let resumable = self.request.service.resumable && self.stream.is_some();
+        let limit = if resumable { remaining.min(STALL_TIMEOUT) } else { remaining };
+        let next = clock.timeout_at(clock.now() + limit, channel.next(&self.shared));
+        let Ok(received) = next.await else {
+            return self.on_silence(call, limit < remaining).await;
         };
-        self.take(call, came)
+        self.on_received(call, received)
     }
 
-    fn take(&mut self, call: &mut Call, came: Came) -> Action {
-        if let Some(head) = came.head {
-            self.head = head;
+    fn on_received(&mut self, call: &mut Call, received: AttemptEvent) -> Action {
+        if let Some(head) = received.head {
+            self.answer_head = head;
         }
-        if let Some(life) = came.ended {
+        if let Some(engine) = received.crashed_engine {
             let now = self.shared.context.clock.now();
-            lock(&self.shared.suspects).record_crash(self.order.fingerprint(), life, now);
+            lock(&self.shared.poison_requests).record_crash(
+                self.request.fingerprint(),
+                engine,
+                now,
+            );
         }
-        if let Some(spent) = came.spent {
-            self.admitted.settle(spent.units);
+        if let Some(cost) = received.cost {
+            self.admission.settle(cost.units);
         }
-        if matches!(came.event, Event::Chunk { .. }) {
+        if matches!(received.event, Event::Chunk { .. }) {
             let before = self.body.len();
-            self.body.extend_from_slice(&came.bytes);
-            let action = self.feed(call, came.event);
+            self.body.extend_from_slice(&received.bytes);
+            let action = self.handle(call, received.event);
             if action != Action::ForwardChunk {
                 self.body.truncate(before);
             }
             return action;
         }
-        if came.event == Event::Lost {
+        if received.event == Event::Lost {
             let server = self.tried.last().cloned().unwrap_or_default();
-            self.signal(&server, Signal::Failed);
+            self.record_signal(&server, Signal::Failed);
         }
-        self.feed(call, came.event)
+        self.handle(call, received.event)
     }
 
-    async fn silence(&mut self, call: &mut Call, stalled: bool) -> Action {
+    async fn on_silence(&mut self, call: &mut Call, stalled: bool) -> Action {
         if !stalled {
-            return self.feed(call, Event::Deadline);
+            return self.handle(call, Event::Deadline);
         }
         let server = self.tried.last().cloned().unwrap_or_default();
         slog::warn!(self.shared.context.log, "stream stalled; moves it to another server";
-            "request" => &self.order.id, "server" => &server);
-        self.signal(&server, Signal::Stalled);
-        if let Some(link) = self.link.take() {
-            link.cancel().await;
+            "request" => &self.request.id, "server" => &server);
+        self.record_signal(&server, Signal::Stalled);
+        if let Some(channel) = self.channel.take() {
+            channel.cancel().await;
         }
-        self.feed(call, Event::Lost)
+        self.handle(call, Event::Lost)
     }
 
-    fn deliver_head(&mut self, call: &mut Call) {
-        self.admitted.begins();
+    fn forward_head(&mut self, call: &mut Call) {
+        self.admission.mark_answering();
         self.body.clear();
-        let (status, content) = self.head.clone();
-        let streamed = content.as_deref().is_some_and(|content| content.starts_with(EVENT_STREAM));
+        let (status, content_type) = self.answer_head.clone();
+        let streamed = content_type
+            .as_deref()
+            .is_some_and(|content_type| content_type.starts_with(EVENT_STREAM));
         if !streamed || self.stream.is_some() {
             return;
         }
         call.mark_committed();
-        let (sender, units) = mpsc::channel(STREAM_ROOM);
+        let (sender, chunks) = mpsc::channel(STREAM_BUFFER);
         self.stream = Some(sender);
-        self.reply(Reply::Stream { status, content, units });
+        self.reply(Reply::Stream { status, content_type, chunks });
     }
 
-    async fn deliver(&mut self, call: &mut Call) -> Action {
+    async fn forward_chunk(&mut self, call: &mut Call) -> Action {
         let Some(stream) = &self.stream else {
             if self.body.len() > ANSWER_MAX {
-                return self.feed(call, Event::CallerDisconnected);
+                return self.handle(call, Event::CallerDisconnected);
             }
-            return self.read(call).await;
+            return self.receive(call).await;
         };
-        let unit = Bytes::from(std::mem::take(&mut self.body));
-        match self.shared.context.clock.timeout_at(self.deadline, stream.send(unit)).await {
-            Ok(Ok(())) => self.read(call).await,
-            Ok(Err(_)) => self.feed(call, Event::CallerDisconnected),
-            Err(_) => self.feed(call, Event::Deadline),
+        let chunk = Bytes::from(std::mem::take(&mut self.body));
+        match self.shared.context.clock.timeout_at(self.deadline, stream.send(chunk)).await {
+            Ok(Ok(())) => self.receive(call).await,
+            Ok(Err(_)) => self.handle(call, Event::CallerDisconnected),
+            Err(_) => self.handle(call, Event::Deadline),
         }
     }
 
-    fn feed(&self, call: &mut Call, event: Event) -> Action {
+    fn handle(&self, call: &mut Call, event: Event) -> Action {
         call.handle(event, &mut lock(&self.shared.budget))
     }
 
     /// The last attempt is over.
-    async fn close(&mut self, outcome: Outcome, evidence: Option<Evidence>, cancel: bool) {
-        let Some(link) = self.link.take() else { return };
+    async fn end_attempt(&mut self, outcome: Outcome, evidence: Option<Evidence>, cancel: bool) {
+        let Some(channel) = self.channel.take() else { return };
         if cancel {
-            link.cancel().await;
+            channel.cancel().await;
         } else if outcome == Outcome::Done || matches!(evidence, Some(Evidence::Refused(_))) {
-            link.give_back(&self.shared);
+            channel.release(&self.shared);
         }
         if outcome == Outcome::Done
             && let Some(server) = self.tried.last().cloned()
         {
-            self.signal(&server, Signal::Success);
+            self.record_signal(&server, Signal::Success);
             let now = self.shared.context.clock.now();
-            lock(&self.shared.suspects).record_completed(self.order.fingerprint(), now);
+            lock(&self.shared.poison_requests).record_completed(self.request.fingerprint(), now);
         }
     }
 
-    fn signal(&self, server: &str, signal: Signal) {
+    fn record_signal(&self, server: &str, signal: Signal) {
         let now = self.shared.context.clock.now();
-        let service = &self.order.service_name;
-        if lock(&self.shared.view).ended(service, server, Some(signal), now) {
+        let service = &self.request.service_name;
+        if lock(&self.shared.view).record_ended(service, server, Some(signal), now) {
             slog::warn!(self.shared.context.log, "server ejected"; "server" => server,
                 "signal" => ?signal);
         }
     }
 
-    async fn conclude(&mut self, (outcome, evidence): (Outcome, Option<Evidence>)) {
-        self.log_end(outcome, evidence);
+    async fn report_outcome(&mut self, (outcome, evidence): (Outcome, Option<Evidence>)) {
+        self.log_outcome(outcome, evidence);
         if outcome != Outcome::Done {
-            return self.tell(Kind::of(outcome, evidence), outcome).await;
+            return self.send_problem(ProblemKind::of(outcome, evidence), outcome).await;
         }
-        let (status, content) = std::mem::take(&mut self.head);
+        let (status, content_type) = std::mem::take(&mut self.answer_head);
         let body = std::mem::take(&mut self.body);
-        self.reply(Reply::Whole { status, content, body });
+        self.reply(Reply::Complete { status, content_type, body });
     }
 
     /// Refused before any attempt.
-    async fn refuse(&mut self, kind: Kind) {
-        let may_have_run = matches!(kind, Kind::KeyUnknown | Kind::BadTicket);
+    async fn reject(&mut self, kind: ProblemKind) {
+        let may_have_run = matches!(kind, ProblemKind::KeyUnknown | ProblemKind::BadTicket);
         let outcome = if may_have_run { Outcome::Unknown } else { Outcome::NotRun };
-        self.log_end(outcome, None);
-        self.tell(kind, outcome).await;
+        self.log_outcome(outcome, None);
+        self.send_problem(kind, outcome).await;
     }
 
-    async fn tell(&mut self, kind: Kind, outcome: Outcome) {
-        let problem = Problem::new(kind, outcome, &self.order.id, None);
+    async fn send_problem(&mut self, kind: ProblemKind, outcome: Outcome) {
+        let problem = Problem::new(kind, outcome, &self.request.id, None);
         // A stream that has begun ends with an event that says so, and without
         // the last event of a whole one.
         if let Some(stream) = self.stream.take() {
--- a/src/mastweir/entry/decisions.rs
+++ b/src/mastweir/entry/decisions.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, sync::Mutex};
 
-const KEPT: usize = 4_096;
+const CAPACITY: usize = 4_096;
 
 /// A routing decision or an end, as an operator reads it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -27,14 +27,14 @@
     /// Keeps a decision.
     pub fn add(&self, decision: Decision) {
         let mut ring = lock(&self.ring);
-        if ring.len() >= KEPT {
+        if ring.len() >= CAPACITY {
             ring.pop_front();
         }
         ring.push_back(decision);
     }
 
     /// All kept decisions on a subject.
-    pub fn on(&self, subject: &str) -> Vec<Decision> {
+    pub fn about(&self, subject: &str) -> Vec<Decision> {
         let ring = lock(&self.ring);
         ring.iter().filter(|decision| decision.subject == subject).cloned().collect()
     }
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -24,51 +24,51 @@
 use tokio::{task::JoinSet, time};
 
 /// Term of a lease.
-const TERM: Duration = Duration::from_secs(8);
+const LEASE_TERM: Duration = Duration::from_secs(8);
 /// Time between renewals.
-const RENEW: Duration = Duration::from_millis(2_500);
+const RENEW_PERIOD: Duration = Duration::from_millis(2_500);
 /// Time between rounds while a switch is in progress, and while none is.
-const BUSY: Duration = Duration::from_millis(5);
-const STEADY: Duration = Duration::from_millis(250);
+const CHANGE_PERIOD: Duration = Duration::from_millis(5);
+const STEADY_PERIOD: Duration = Duration::from_millis(250);
 /// Time between looks for groups to coordinate.
-const LOOK: Duration = Duration::from_secs(1);
+const SCAN_PERIOD: Duration = Duration::from_secs(1);
 /// Time for a rank to answer an order.
-const ORDER_TIME: Duration = Duration::from_millis(400);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time after which a switch that has granted nothing is given up.
-const GIVE_UP: Duration = Duration::from_secs(30);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The map that a new group begins with.
-const FIRST_MAP: MapVersion = MapVersion(1);
+const INITIAL_MAP: MapVersion = MapVersion(1);
 
 /// The ranks of a group and the agents before them.
-type Ranks = Vec<SocketAddr>;
+type RankAddrs = Vec<SocketAddr>;
 
 /// Takes care of the groups that fall to this entry.
 pub async fn coordinate(shared: Arc<Shared>) {
     let mut tasks: HashMap<String, tokio::task::AbortHandle> = HashMap::new();
     let mut set = JoinSet::new();
     loop {
-        time::sleep(LOOK).await;
+        time::sleep(SCAN_PERIOD).await;
         while set.try_join_next().is_some() {}
         tasks.retain(|_, task| !task.is_finished());
-        for group in own_groups(&shared) {
-            tasks
-                .entry(group)
-                .or_insert_with_key(|group| set.spawn(keep(shared.clone(), group.clone())));
+        for group in assigned_groups(&shared) {
+            tasks.entry(group).or_insert_with_key(|group| {
+                set.spawn(coordinate_group(shared.clone(), group.clone()))
+            });
         }
     }
 }
 
 /// Groups of the own hall that fall to this entry.
-fn own_groups(shared: &Shared) -> Vec<String> {
+fn assigned_groups(shared: &Shared) -> Vec<String> {
     let own = shared.context.name.as_str();
     let view = lock(&shared.view);
     let members = lock(&shared.members);
-    let entries = view.of_role(InstanceRole::Entry);
-    let near = entries.filter(|(_, spec)| spec.hall == shared.context.hall);
+    let entries = view.with_role(InstanceRole::Entry);
+    let local = entries.filter(|(_, spec)| spec.hall == shared.context.hall);
     let mut alive: Vec<&str> =
-        near.map(|(name, _)| name).filter(|name| members.is_alive(name)).collect();
+        local.map(|(name, _)| name).filter(|name| members.is_alive(name)).collect();
     alive.push(own);
-    let groups = view.of_role(InstanceRole::Server).filter_map(|(_, spec)| {
+    let groups = view.with_role(InstanceRole::Server).filter_map(|(_, spec)| {
         (spec.hall == shared.context.hall).then_some(spec.group.as_ref()?.name.clone())
     });
     let mut groups: Vec<String> = groups.collect();
@@ -83,51 +83,51 @@
 }
 
 /// Holds a group's lease and coordinates it, until it falls to another entry.
-async fn keep(shared: Arc<Shared>, group: String) {
-    let mut keeper = Keeper {
-        lease: Lease::new(shared.context.fence(), TERM),
-        renewed: None,
+async fn coordinate_group(shared: Arc<Shared>, group: String) {
+    let mut task = GroupTask {
+        lease: Lease::new(shared.context.fence(), LEASE_TERM),
+        last_renewal: None,
         coordinator: None,
-        begun_at: None,
-        lives: BTreeMap::new(),
-        counts: Counts::default(),
+        change_start: None,
+        incarnations: BTreeMap::new(),
+        counts: ChangeCounts::default(),
         shared,
         group,
     };
-    while own_groups(&keeper.shared).contains(&keeper.group) {
-        keeper.renew_if_due().await;
-        let busy = keeper.step().await;
-        time::sleep(if busy { BUSY } else { STEADY }).await;
+    while assigned_groups(&task.shared).contains(&task.group) {
+        task.renew_if_due().await;
+        let is_changing = task.step().await;
+        time::sleep(if is_changing { CHANGE_PERIOD } else { STEADY_PERIOD }).await;
     }
-    lock(&keeper.shared.groups).remove(&keeper.group);
+    lock(&task.shared.groups).remove(&task.group);
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct ChangeCounts {
     begun: u64,
     done: u64,
-    given_up: u64,
+    aborted: u64,
 }
 
-struct Keeper {
+struct GroupTask {
     shared: Arc<Shared>,
     group: String,
     lease: Lease,
-    renewed: Option<Uptime>,
-    coordinator: Option<(Coordinator, Ranks)>,
-    begun_at: Option<Uptime>,
+    last_renewal: Option<Uptime>,
+    coordinator: Option<(Coordinator, RankAddrs)>,
+    change_start: Option<Uptime>,
     /// What servers last said of their ranks' lives.
-    lives: BTreeMap<String, u64>,
-    counts: Counts,
+    incarnations: BTreeMap<String, u64>,
+    counts: ChangeCounts,
 }
 
-impl Keeper {
+impl GroupTask {
     async fn renew_if_due(&mut self) {
         let now = self.shared.context.clock.now();
-        if self.renewed.is_some_and(|at| now.since(at) < RENEW) {
+        if self.last_renewal.is_some_and(|at| now.since(at) < RENEW_PERIOD) {
             return;
         }
-        self.renewed = Some(now);
+        self.last_renewal = Some(now);
         if let Err(error) = self.renew().await {
             slog::warn!(self.shared.context.log, "can't renew a group's lease; the group goes on";
                 "group" => &self.group, "error" => %error);
@@ -176,21 +176,21 @@
             self.coordinator = None;
             return false;
         };
-        let ranks = ranks_of(&self.shared, &self.group);
+        let ranks = rank_addrs(&self.shared, &self.group);
         let Some(ranks) = ranks else { return false };
-        let fits = self
+        let is_current = self
             .coordinator
             .as_ref()
             .is_some_and(|(coordinator, known)| coordinator.epoch() == epoch && *known == ranks);
-        if !fits {
-            let coordinator = Coordinator::new(epoch, ranks.len(), FIRST_MAP);
+        if !is_current {
+            let coordinator = Coordinator::new(epoch, ranks.len(), INITIAL_MAP);
             self.coordinator = Some((coordinator, ranks));
         }
-        self.look_for_replaced();
-        self.begin_or_give_up(now);
-        self.round(epoch).await;
-        self.note();
-        let steady = |(coordinator, _): &(Coordinator, Ranks)| {
+        self.detect_replaced_ranks();
+        self.begin_or_abort(now);
+        self.send_orders(epoch).await;
+        self.publish_status();
+        let steady = |(coordinator, _): &(Coordinator, RankAddrs)| {
             matches!(coordinator.progress(), Progress::Steady(_))
         };
         !self.coordinator.as_ref().is_some_and(steady)
@@ -198,46 +198,52 @@
 
     /// A group whose rank was replaced stands still until all ranks are asked
     /// anew. Servers' reports tell.
-    fn look_for_replaced(&mut self) {
-        let lives = lock(&self.shared.view).lives(&self.group);
-        let changed =
-            |(name, life): (&String, &u64)| self.lives.get(name).is_some_and(|known| known != life);
-        let replaced = lives.iter().any(changed);
-        self.lives.extend(lives);
+    fn detect_replaced_ranks(&mut self) {
+        let incarnations = lock(&self.shared.view).rank_incarnations(&self.group);
+        let changed = |(name, incarnation): (&String, &u64)| {
+            self.incarnations.get(name).is_some_and(|known| known != incarnation)
+        };
+        let replaced = incarnations.iter().any(changed);
+        self.incarnations.extend(incarnations);
         if let (true, Some((coordinator, _))) = (replaced, &mut self.coordinator) {
             coordinator.reseal();
-            decide(&self.shared, &self.group, "ask all ranks anew", "a rank was replaced");
+            log_decision(&self.shared, &self.group, "ask all ranks anew", "a rank was replaced");
         }
     }
 
-    fn begin_or_give_up(&mut self, now: Uptime) {
-        let wanted = lock(&self.shared.wanted).get(&self.group).copied();
+    fn begin_or_abort(&mut self, now: Uptime) {
+        let target = lock(&self.shared.target_maps).get(&self.group).copied();
         let Some((coordinator, _)) = &mut self.coordinator else { return };
-        if let Some(map) = wanted
+        if let Some(map) = target
             && coordinator.begin(map)
         {
             self.counts.begun += 1;
-            self.begun_at = Some(now);
-            decide(&self.shared, &self.group, &format!("switch to map {}", map.0), "wanted");
+            self.change_start = Some(now);
+            log_decision(&self.shared, &self.group, &format!("switch to map {}", map.0), "wanted");
         }
-        let late = self.begun_at.is_some_and(|at| now.since(at) > GIVE_UP);
-        if late && coordinator.abort() {
-            self.counts.given_up += 1;
-            self.begun_at = None;
-            lock(&self.shared.wanted).remove(&self.group);
-            decide(&self.shared, &self.group, "give the switch up", "ranks did not follow in time");
+        let is_late = self.change_start.is_some_and(|at| now.since(at) > CHANGE_TIMEOUT);
+        if is_late && coordinator.abort() {
+            self.counts.aborted += 1;
+            self.change_start = None;
+            lock(&self.shared.target_maps).remove(&self.group);
+            log_decision(
+                &self.shared,
+                &self.group,
+                "give the switch up",
+                "ranks did not follow in time",
+            );
         }
     }
 
     /// Sends the orders of a round at once, and takes the replies in.
-    async fn round(&mut self, epoch: u64) {
+    async fn send_orders(&mut self, epoch: u64) {
         let Some((coordinator, ranks)) = &mut self.coordinator else { return };
         let mut replies = JoinSet::new();
         for (rank, order) in coordinator.orders() {
             let group = self.group.clone();
             let to = RankOrder { group, rank: u16::try_from(rank).unwrap_or(u16::MAX), order };
             let (shared, addr) = (self.shared.clone(), ranks[rank]);
-            replies.spawn(async move { (rank, order, send(&shared, addr, to).await) });
+            replies.spawn(async move { (rank, order, send_order(&shared, addr, to).await) });
         }
         let before = coordinator.progress();
         while let Some(Ok((rank, order, reply))) = replies.join_next().await {
@@ -249,42 +255,42 @@
         }
         let switched = matches!(before, Progress::Granting(..))
             && matches!(coordinator.progress(), Progress::Steady(_));
-        if switched && self.begun_at.take().is_some() {
+        if switched && self.change_start.take().is_some() {
             self.counts.done += 1;
         }
     }
 
-    fn note(&self) {
+    fn publish_status(&self) {
         let Some((coordinator, _)) = &self.coordinator else { return };
-        let known = coordinator.statuses().iter().flatten().filter_map(|status| status.grant);
+        let grants = coordinator.statuses().iter().flatten().filter_map(|status| status.grant);
         let status = GroupStatus {
             name: self.group.clone(),
             epoch: coordinator.epoch(),
             progress: format!("{:?}", coordinator.progress()),
             switches: self.counts.done,
             begun: self.counts.begun,
-            given_up: self.counts.given_up,
-            map: known.map(|(map, _)| map.0).max().unwrap_or(0),
+            given_up: self.counts.aborted,
+            map: grants.map(|(map, _)| map.0).max().unwrap_or(0),
         };
         lock(&self.shared.groups).insert(self.group.clone(), status);
     }
 }
 
 /// The agents before the ranks of a group; `None` while some are not listed.
-fn ranks_of(shared: &Shared, group: &str) -> Option<Ranks> {
+fn rank_addrs(shared: &Shared, group: &str) -> Option<RankAddrs> {
     let view = lock(&shared.view);
-    let mut places: BTreeMap<u16, SocketAddr> = BTreeMap::new();
-    let mut of = 0;
-    for (_, spec) in view.of_role(InstanceRole::Server) {
+    let mut addrs: BTreeMap<u16, SocketAddr> = BTreeMap::new();
+    let mut size = 0;
+    for (_, spec) in view.with_role(InstanceRole::Server) {
         let Some(part) = spec.group.as_ref().filter(|part| part.name == group) else { continue };
-        of = part.of;
-        places.extend((part.first..part.first + part.ranks).map(|rank| (rank, spec.tcp)));
+        size = part.of;
+        addrs.extend((part.first..part.first + part.ranks).map(|rank| (rank, spec.tcp)));
     }
-    let whole = of > 0 && places.len() == usize::from(of);
-    whole.then(|| places.into_values().collect())
+    let is_complete = size > 0 && addrs.len() == usize::from(size);
+    is_complete.then(|| addrs.into_values().collect())
 }
 
-async fn send(shared: &Shared, addr: SocketAddr, order: RankOrder) -> RankReply {
+async fn send_order(shared: &Shared, addr: SocketAddr, order: RankOrder) -> RankReply {
     let exchange = async {
         let mut channel = shared.pool.get(addr).await.ok()?;
         channel.sender.send(&ToAgent::Rank(order)).await.ok()?;
@@ -292,11 +298,11 @@
         shared.pool.put(addr, channel);
         Some(reply)
     };
-    let reply = time::timeout(ORDER_TIME, exchange).await.ok().flatten();
+    let reply = time::timeout(ORDER_TIMEOUT, exchange).await.ok().flatten();
     reply.unwrap_or(RankReply::NotReady)
 }
 
-fn decide(shared: &Shared, group: &str, what: &str, why: &str) {
+fn log_decision(shared: &Shared, group: &str, what: &str, why: &str) {
     slog::info!(shared.context.log, "placement"; "group" => group, "what" => what, "why" => why);
     let subject = format!("group {group}");
     shared.decisions.add(Decision { subject, what: what.to_owned(), why: why.to_owned() });
--- a/src/mastweir/entry/heartbeat.rs
+++ b/src/mastweir/entry/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between entries: who is there, and how far its table is.
+//! Heartbeats between entries: who is there, and how remote its table is.
 
 use super::{Shared, lock};
 use crate::objects::InstanceRole;
@@ -9,47 +9,47 @@
 /// Peers that a heartbeat goes to.
 const FANOUT: usize = 3;
 /// Requests told beside a heartbeat, of 80 bytes at most.
-const SUSPECTED_SENT: usize = 13;
+const SUSPECTS_MAX: usize = 13;
 /// Members named in a heartbeat.
-const NAMED: usize = 6;
+const MEMBERS_MAX: usize = 6;
 
 /// Sends a heartbeat to some peers of the hall, and to one of another hall.
-pub async fn tell_some(shared: &Shared) {
+pub async fn send_to_some(shared: &Shared) {
     let peers = pick_peers(shared);
     if peers.is_empty() {
         return;
     }
     let packet = heartbeat(shared);
-    let suspected = suspected(shared);
+    let reports = suspect_reports(shared);
     for addr in peers {
         shared.socket.send(addr, &packet).await;
-        if !suspected.is_empty() {
-            shared.socket.send(addr, &Packet::Suspected(suspected.clone())).await;
+        if !reports.is_empty() {
+            shared.socket.send(addr, &Packet::Suspected(reports.clone())).await;
         }
     }
 }
 
 /// Requests under which engines ended: what is new, and what is quarantined.
-fn suspected(shared: &Shared) -> Vec<SuspectReport> {
+fn suspect_reports(shared: &Shared) -> Vec<SuspectReport> {
     let now = shared.context.clock.now();
-    let suspects = lock(&shared.suspects);
-    let mut suspected = suspects.recent_reports(now);
-    suspected.extend(suspects.quarantined_reports(SUSPECTED_SENT, now));
-    suspected.truncate(SUSPECTED_SENT);
-    suspected
+    let poison_requests = lock(&shared.poison_requests);
+    let mut reports = poison_requests.recent_reports(now);
+    reports.extend(poison_requests.quarantined_reports(SUSPECTS_MAX, now));
+    reports.truncate(SUSPECTS_MAX);
+    reports
 }
 
 fn pick_peers(shared: &Shared) -> Vec<SocketAddr> {
     let view = lock(&shared.view);
     let own = &shared.context;
     let peers: Vec<_> =
-        view.of_role(InstanceRole::Entry).filter(|(name, _)| *name != own.name).collect();
-    let near: Vec<_> = peers.iter().filter(|(_, spec)| spec.hall == own.hall).collect();
-    let far = peers.iter().filter(|(_, spec)| spec.hall != own.hall);
+        view.with_role(InstanceRole::Entry).filter(|(name, _)| *name != own.name).collect();
+    let local: Vec<_> = peers.iter().filter(|(_, spec)| spec.hall == own.hall).collect();
+    let remote = peers.iter().filter(|(_, spec)| spec.hall != own.hall);
     let mut rng = lock(&shared.rng);
     let mut addrs: Vec<SocketAddr> =
-        near.choose_multiple(&mut *rng, FANOUT).map(|(_, spec)| spec.udp).collect();
-    addrs.extend(far.choose(&mut *rng).map(|(_, spec)| spec.udp));
+        local.choose_multiple(&mut *rng, FANOUT).map(|(_, spec)| spec.udp).collect();
+    addrs.extend(remote.choose(&mut *rng).map(|(_, spec)| spec.udp));
     addrs
 }
 
@@ -57,6 +57,6 @@
     let table = lock(&shared.table).digest();
     let leaving = shared.leaving.load(Ordering::SeqCst);
     let beat = shared.context.clock.now().0;
-    let others = lock(&shared.members).sample(NAMED, &mut *lock(&shared.rng));
+    let others = lock(&shared.members).sample(MEMBERS_MAX, &mut *lock(&shared.rng));
     Packet::Heartbeat { table, beat, leaving, others }
 }
--- a/src/mastweir/entry/http.rs
+++ b/src/mastweir/entry/http.rs
@@ -4,8 +4,8 @@
     Shared,
     admit::{self, Denied},
     calls, keys, lock, operator,
-    order::Order,
-    problem::{Kind, Problem},
+    parsed_request::ParsedRequest,
+    problem::{Problem, ProblemKind},
     reply::{Reply, bearer, json},
 };
 use bytes::Bytes;
@@ -46,9 +46,9 @@
 /// Characters of a prompt that count as its prefix.
 const PREFIX_LEN: usize = 512;
 /// Characters of a token, roughly, before it is known better.
-const TOKEN_LEN: usize = 4;
+const CHARS_PER_TOKEN: usize = 4;
 /// Tokens generated if the caller names no bound.
-const TOKENS_DEFAULT: u64 = 256;
+const MAX_TOKENS_DEFAULT: u64 = 256;
 const PROBLEM_JSON: &str = "application/problem+json";
 
 /// Starts to serve. Gives the address and a way to stop.
@@ -103,7 +103,7 @@
         },
         ..Config::release_default()
     };
-    let handler = Front { shared: shared.clone() };
+    let handler = RootHandler { shared: shared.clone() };
     let routes: Vec<Route> =
         METHODS.iter().map(|method| Route::new(*method, "/<path..>", handler.clone())).collect();
     rocket::custom(config).mount("/", routes)
@@ -111,17 +111,17 @@
 
 /// The one handler: the path decides.
 #[derive(Clone)]
-struct Front {
+struct RootHandler {
     shared: Arc<Shared>,
 }
 
 #[rocket::async_trait]
-impl Handler for Front {
+impl Handler for RootHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> RouteOutcome<'r> {
         let path = request.uri().path().as_str();
         if path.starts_with("/-/") {
-            let reply = operator::answer(&self.shared, request, data).await;
-            return RouteOutcome::from(request, Answer { id: String::new(), reply });
+            let reply = operator::handle(&self.shared, request, data).await;
+            return RouteOutcome::from(request, HttpReply { id: String::new(), reply });
         }
         let id = request_id(&self.shared);
         let reply = match self.serve(request, data, &id).await {
@@ -132,99 +132,100 @@
                 Reply::Problem(problem)
             }
         };
-        RouteOutcome::from(request, Answer { id, reply })
+        RouteOutcome::from(request, HttpReply { id, reply })
     }
 }
 
-type Refused = (Kind, Option<u32>);
+type Rejection = (ProblemKind, Option<u32>);
 
-impl Front {
+impl RootHandler {
     async fn serve(
         &self,
         request: &Request<'_>,
         data: Data<'_>,
         id: &str,
-    ) -> Result<Reply, Refused> {
+    ) -> Result<Reply, Rejection> {
         if !self.shared.is_ready() {
-            return Err((Kind::NotReady, Some(1)));
+            return Err((ProblemKind::NotReady, Some(1)));
         }
         if self.shared.active.load(Ordering::SeqCst) >= ACTIVE_MAX {
-            return Err((Kind::Overloaded, Some(1)));
+            return Err((ProblemKind::Overloaded, Some(1)));
         }
-        let (customer, row) = self.authorize(request).ok_or((Kind::Unauthorized, None))?;
+        let (customer, row) = self.authorize(request).ok_or((ProblemKind::Unauthorized, None))?;
         let body = data.open(ByteUnit::from(BODY_MAX)).into_bytes().await;
-        let body = body.map_err(|_| (Kind::BadRequest, None))?;
+        let body = body.map_err(|_| (ProblemKind::BadRequest, None))?;
         if !body.is_complete() {
-            return Err((Kind::BadRequest, None));
+            return Err((ProblemKind::BadRequest, None));
         }
         let body = body.into_inner();
         if request.uri().path() == TICKET_PATH {
-            return self.ticket(&customer, &body);
+            return self.issue_ticket(&customer, &body);
         }
-        let order = self.read(request, body, customer, &row, id)?;
-        let admitted = admit::admit(&self.shared, &order.customer, &row, order.cost);
-        let admitted = admitted.map_err(|Denied { kind, retry_after }| {
+        let parsed = self.parse(request, body, customer, &row, id)?;
+        let admission = admit::admit(&self.shared, &parsed.customer, &row, parsed.cost);
+        let admission = admission.map_err(|Denied { kind, retry_after }| {
             self.shared.context.metrics.count("request.denied");
             (kind, retry_after)
         })?;
         let (sender, receiver) = oneshot::channel();
-        tokio::spawn(calls::run(self.shared.clone(), order, admitted, sender));
-        receiver.await.map_err(|_| (Kind::NotReady, None))
+        tokio::spawn(calls::run(self.shared.clone(), parsed, admission, sender));
+        receiver.await.map_err(|_| (ProblemKind::NotReady, None))
     }
 
     fn authorize(&self, request: &Request<'_>) -> Option<(String, Customer)> {
         let key = bearer(request)?;
         let hash = hash_key(key);
-        let rows = self.shared.config.rows();
+        let rows = self.shared.active_rows.get();
         let (name, row) = rows.by_key.get(&hash)?;
         let equal = row.key_hash.as_bytes().ct_eq(hash.as_bytes());
         bool::from(equal).then(|| (name.clone(), row.clone()))
     }
 
-    fn ticket(&self, customer: &str, body: &[u8]) -> Result<Reply, Refused> {
+    fn issue_ticket(&self, customer: &str, body: &[u8]) -> Result<Reply, Rejection> {
         #[derive(Deserialize)]
-        struct Wanted {
+        struct TicketRequest {
             service: String,
         }
-        let wanted: Wanted = serde_json::from_slice(body).map_err(|_| (Kind::BadRequest, None))?;
-        let ticket = keys::make_ticket(&self.shared, customer, &wanted.service);
+        let request: TicketRequest =
+            serde_json::from_slice(body).map_err(|_| (ProblemKind::BadRequest, None))?;
+        let ticket = keys::make_ticket(&self.shared, customer, &request.service);
         let ticket = ticket.map_err(|kind| (kind, Some(1)))?;
         let body = serde_json::json!({
             "ticket": ticket,
-            "valid_s": keys::KEY_TERM.as_secs(),
+            "valid_s": keys::KEY_LIFETIME.as_secs(),
         });
         Ok(json(&body))
     }
 
-    fn read(
+    fn parse(
         &self,
         request: &Request<'_>,
         body: Vec<u8>,
         customer: String,
         row: &Customer,
         id: &str,
-    ) -> Result<Order, Refused> {
+    ) -> Result<ParsedRequest, Rejection> {
         let path = request.uri().path().as_str();
-        let rows = self.shared.config.rows();
-        let asked = Asked::read(path, &body).ok_or((Kind::BadRequest, None))?;
-        let service = rows.services.get(&asked.service).filter(|row| row.kind == asked.kind);
-        let service = service.cloned().ok_or((Kind::NoService, None))?;
+        let rows = self.shared.active_rows.get();
+        let info = RequestInfo::parse(path, &body).ok_or((ProblemKind::BadRequest, None))?;
+        let service = rows.services.get(&info.service).filter(|row| row.kind == info.kind);
+        let service = service.cloned().ok_or((ProblemKind::NoService, None))?;
         let key = request.headers().get_one("idempotency-key");
         if key.is_some_and(|key| key.is_empty() || key.len() > KEY_MAX) {
-            return Err((Kind::BadRequest, None));
+            return Err((ProblemKind::BadRequest, None));
         }
-        let (prefill, cost) = asked.units(&service);
-        Ok(Order {
+        let (prefill, cost) = info.units(&service);
+        Ok(ParsedRequest {
             id: id.to_owned(),
             customer,
             weight: row.weight,
             method: request.method().to_string(),
             path: request.uri().to_string(),
-            content: request.content_type().map(ToString::to_string),
-            streamed: asked.stream,
+            content_type: request.content_type().map(ToString::to_string),
+            streamed: info.stream,
             key: key.map(str::to_owned).filter(|_| !service.repeatable),
-            prefix: asked.prefix,
-            service_name: asked.service,
+            prefix_hash: info.prefix_hash,
+            service_name: info.service,
             service,
             body,
             prefill,
@@ -234,13 +235,13 @@
 }
 
 /// What a request asks for, as far as its path and body tell.
-struct Asked {
+struct RequestInfo {
     kind: ServiceKind,
     service: String,
     stream: bool,
-    prompt: u64,
-    generated: u64,
-    prefix: Option<u64>,
+    prompt_tokens: u64,
+    max_tokens: u64,
+    prefix_hash: Option<u64>,
 }
 
 /// The fields of a model request that are looked at.
@@ -254,8 +255,8 @@
     prompt: Option<serde_json::Value>,
 }
 
-impl Asked {
-    fn read(path: &str, body: &[u8]) -> Option<Self> {
+impl RequestInfo {
+    fn parse(path: &str, body: &[u8]) -> Option<Self> {
         if !MODEL_PATHS.contains(&path) {
             let service = path.trim_start_matches('/').split('/').next()?.to_owned();
             let kind = ServiceKind::Plain;
@@ -263,9 +264,9 @@
                 kind,
                 service,
                 stream: false,
-                prompt: 0,
-                generated: 0,
-                prefix: None,
+                prompt_tokens: 0,
+                max_tokens: 0,
+                prefix_hash: None,
             });
         }
         let body: ModelBody = serde_json::from_slice(body).ok()?;
@@ -277,16 +278,16 @@
             kind: ServiceKind::Model,
             service: body.model,
             stream: body.stream,
-            prompt: (text.len() / TOKEN_LEN) as u64,
-            generated: body.max_tokens.unwrap_or(TOKENS_DEFAULT),
-            prefix: hash,
+            prompt_tokens: (text.len() / CHARS_PER_TOKEN) as u64,
+            max_tokens: body.max_tokens.unwrap_or(MAX_TOKENS_DEFAULT),
+            prefix_hash: hash,
         })
     }
 
     /// Units of the prompt, and of all.
     fn units(&self, service: &Service) -> (u32, u32) {
         let cost = service.cost;
-        (cost.units(self.prompt, 0), cost.units(self.prompt, self.generated))
+        (cost.units(self.prompt_tokens, 0), cost.units(self.prompt_tokens, self.max_tokens))
     }
 }
 
@@ -295,19 +296,21 @@
 }
 
 /// A reply as `rocket` sends it.
-struct Answer {
+struct HttpReply {
     id: String,
     reply: Reply,
 }
 
-impl<'r> Responder<'r, 'static> for Answer {
+impl<'r> Responder<'r, 'static> for HttpReply {
     fn respond_to(self, _: &'r Request<'_>) -> rocket::response::Result<'static> {
         let mut response = match self.reply {
-            Reply::Whole { status, content, body } => whole(status, content, body),
-            Reply::Stream { status, content, units } => streamed(status, content, units),
+            Reply::Complete { status, content_type, body } => complete(status, content_type, body),
+            Reply::Stream { status, content_type, chunks } => {
+                streamed(status, content_type, chunks)
+            }
             Reply::Problem(problem) => {
                 let body = serde_json::to_vec(&problem).unwrap_or_default();
-                let mut response = whole(problem.status, Some(PROBLEM_JSON.to_owned()), body);
+                let mut response = complete(problem.status, Some(PROBLEM_JSON.to_owned()), body);
                 if let Some(seconds) = problem.retry_after {
                     response.set_header(Header::new("retry-after", seconds.to_string()));
                 }
@@ -322,34 +325,34 @@
     }
 }
 
-fn whole(status: u16, content: Option<String>, body: Vec<u8>) -> Response<'static> {
+fn complete(status: u16, content_type: Option<String>, body: Vec<u8>) -> Response<'static> {
     let mut response = Response::new();
     response.set_status(Status::new(status));
-    set_content(&mut response, content);
+    set_content(&mut response, content_type);
     response.set_sized_body(body.len(), Cursor::new(body));
     response
 }
 
 fn streamed(
     status: u16,
-    content: Option<String>,
-    units: mpsc::Receiver<Bytes>,
+    content_type: Option<String>,
+    chunks: mpsc::Receiver<Bytes>,
 ) -> Response<'static> {
-    let units = stream::unfold(units, async |mut units| {
-        units.recv().await.map(|unit| (Ok::<_, io::Error>(unit), units))
+    let chunks = stream::unfold(chunks, async |mut chunks| {
+        chunks.recv().await.map(|chunk| (Ok::<_, io::Error>(chunk), chunks))
     });
     let mut response = Response::new();
     response.set_status(Status::new(status));
-    set_content(&mut response, content);
+    set_content(&mut response, content_type);
     response.set_header(Header::new("cache-control", "no-cache"));
-    response.set_streamed_body(StreamReader::new(Box::pin(units)));
+    response.set_streamed_body(StreamReader::new(Box::pin(chunks)));
     response
 }
 
-fn set_content(response: &mut Response<'static>, content: Option<String>) {
-    let Some(content) = content else { return };
-    match ContentType::parse_flexible(&content) {
-        Some(content) => response.set_header(content),
-        None => response.set_header(Header::new("content-type", content)),
+fn set_content(response: &mut Response<'static>, content_type: Option<String>) {
+    let Some(content_type) = content_type else { return };
+    match ContentType::parse_flexible(&content_type) {
+        Some(content_type) => response.set_header(content_type),
+        None => response.set_header(Header::new("content-type", content_type)),
     };
 }
--- a/src/mastweir/entry/keys.rs
+++ b/src/mastweir/entry/keys.rs
@@ -5,7 +5,9 @@
 //! object API, created by the first submission). A plain key whose first
 //! submission can't be looked up is refused as unknown: it may have run.
 
-use super::{Shared, lock, order::Order, problem::Kind, view::Chosen};
+use super::{
+    Shared, lock, parsed_request::ParsedRequest, problem::ProblemKind, view::ChosenServer,
+};
 use crate::objects::{Collection, KeySpec, Object, PlatformError};
 use mastweir_core::{
     id::OpId,
@@ -16,41 +18,51 @@
 use std::time::Duration;
 
 /// Time for which a key or ticket finds its operation.
-pub const KEY_TERM: Duration = Duration::from_secs(600);
+pub const KEY_LIFETIME: Duration = Duration::from_secs(600);
 /// What an order without key may be late by.
-const PRIVATE_SLACK: Duration = Duration::from_secs(30);
+const EXCLUSIVE_SLACK: Duration = Duration::from_secs(30);
 const TICKET_PURPOSE: &str = "mastweir 2026 ticket";
 
 /// Where an operation may run.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct BoundOperation {
     /// The operation.
     pub op: OpId,
     /// In this order.
     pub bindings: Vec<Binding>,
     /// Whether only this call submits it.
-    pub private: bool,
+    pub exclusive: bool,
     /// The decision, if it was made now.
-    pub chosen: Option<Chosen>,
+    pub chosen: Option<ChosenServer>,
     /// The object of a plain key that was submitted before.
-    pub former: Option<Object<KeySpec>>,
+    pub existing: Option<Object<KeySpec>>,
 }
 
 /// Finds or makes the places of an order.
 ///
 /// # Errors
 ///
-/// The kind of problem; with [`Kind::KeyUnknown`] and [`Kind::BadTicket`] the
+/// The kind of problem; with [`ProblemKind::KeyUnknown`] and [`ProblemKind::BadTicket`] the
 /// operation may have run.
-pub async fn places(shared: &Shared, order: &Order) -> Result<Places, Kind> {
-    match &order.key {
+pub async fn resolve(
+    shared: &Shared,
+    request: &ParsedRequest,
+) -> Result<BoundOperation, ProblemKind> {
+    match &request.key {
         None => {
-            let term = Duration::from_millis(u64::from(order.service.deadline_ms)) + PRIVATE_SLACK;
-            let (bindings, chosen) = mint(shared, order, term)?;
-            Ok(Places { op: draw_op(), bindings, private: true, chosen, former: None })
+            let lifetime =
+                Duration::from_millis(u64::from(request.service.deadline_ms)) + EXCLUSIVE_SLACK;
+            let (bindings, chosen) = choose_bindings(shared, request, lifetime)?;
+            Ok(BoundOperation {
+                op: random_op(),
+                bindings,
+                exclusive: true,
+                chosen,
+                existing: None,
+            })
         }
-        Some(key) if Ticket::is_ticket(key) => read_ticket(shared, order, key),
-        Some(key) => plain_key(shared, order, key).await,
+        Some(key) if Ticket::is_ticket(key) => resolve_ticket(shared, request, key),
+        Some(key) => resolve_key(shared, request, key).await,
     }
 }
 
@@ -58,11 +70,11 @@
 ///
 /// # Errors
 ///
-/// [`Kind::NoServer`] if no server is known for the service.
-pub fn make_ticket(shared: &Shared, customer: &str, service: &str) -> Result<String, Kind> {
-    let (bindings, _) = mint_for(shared, service, &Request::default(), KEY_TERM)?;
+/// [`ProblemKind::NoServer`] if no server is known for the service.
+pub fn make_ticket(shared: &Shared, customer: &str, service: &str) -> Result<String, ProblemKind> {
+    let (bindings, _) = choose_bindings_for(shared, service, &Request::default(), KEY_LIFETIME)?;
     let ticket = Ticket {
-        op: draw_op(),
+        op: random_op(),
         customer: customer.to_owned(),
         service: service.to_owned(),
         bindings,
@@ -75,95 +87,107 @@
 ///
 /// # Errors
 ///
-/// [`Kind::KeyUnknown`] if it can't be told whether it landed.
+/// [`ProblemKind::KeyUnknown`] if it can't be told whether it landed.
 pub async fn rebind(
     shared: &Shared,
-    order: &Order,
-    former: &Object<KeySpec>,
-) -> Result<Places, Kind> {
-    let (bindings, chosen) = mint(shared, order, KEY_TERM)?;
-    let mut object = former.clone();
+    request: &ParsedRequest,
+    existing: &Object<KeySpec>,
+) -> Result<BoundOperation, ProblemKind> {
+    let (bindings, chosen) = choose_bindings(shared, request, KEY_LIFETIME)?;
+    let mut object = existing.clone();
     object.spec.bindings.clone_from(&bindings);
-    object.written.operation = draw_op().to_string();
-    let op = OpId::from_key(&order.customer, order.key.as_deref().unwrap_or_default());
+    object.written.operation = random_op().to_string();
+    let op = OpId::from_key(&request.customer, request.key.as_deref().unwrap_or_default());
     match shared.context.platform.update(Collection::Keys, &object).await {
-        Ok(_) => Ok(Places { op, bindings, private: false, chosen, former: None }),
+        Ok(_) => Ok(BoundOperation { op, bindings, exclusive: false, chosen, existing: None }),
         Err(PlatformError::Conflict(_)) => {
             let object = read_key(shared, &object.metadata.name).await?;
             let bindings = object.spec.bindings;
-            Ok(Places { op, bindings, private: false, chosen: None, former: None })
+            Ok(BoundOperation { op, bindings, exclusive: false, chosen: None, existing: None })
         }
-        Err(_) => Err(Kind::KeyUnknown),
+        Err(_) => Err(ProblemKind::KeyUnknown),
     }
 }
 
-fn read_ticket(shared: &Shared, order: &Order, text: &str) -> Result<Places, Kind> {
+fn resolve_ticket(
+    shared: &Shared,
+    request: &ParsedRequest,
+    text: &str,
+) -> Result<BoundOperation, ProblemKind> {
     let secret = shared.context.secret.derive(TICKET_PURPOSE);
-    let ticket = Ticket::from_text(text, &secret, &order.customer, &order.service_name);
-    let ticket = ticket.map_err(|_| Kind::BadTicket)?;
+    let ticket = Ticket::from_text(text, &secret, &request.customer, &request.service_name);
+    let ticket = ticket.map_err(|_| ProblemKind::BadTicket)?;
     let Ticket { op, bindings, .. } = ticket;
-    Ok(Places { op, bindings, private: false, chosen: None, former: None })
+    Ok(BoundOperation { op, bindings, exclusive: false, chosen: None, existing: None })
 }
 
-async fn plain_key(shared: &Shared, order: &Order, key: &str) -> Result<Places, Kind> {
-    let op = OpId::from_key(&order.customer, key);
+async fn resolve_key(
+    shared: &Shared,
+    request: &ParsedRequest,
+    key: &str,
+) -> Result<BoundOperation, ProblemKind> {
+    let op = OpId::from_key(&request.customer, key);
     let name = op.to_string();
-    let (bindings, chosen) = mint(shared, order, KEY_TERM)?;
-    let spec = KeySpec { service: order.service_name.clone(), bindings };
-    let written = draw_op().to_string();
+    let (bindings, chosen) = choose_bindings(shared, request, KEY_LIFETIME)?;
+    let spec = KeySpec { service: request.service_name.clone(), bindings };
+    let written = random_op().to_string();
     let object = Object::new(&name, &shared.context.name, &written, spec);
     match shared.context.platform.create(Collection::Keys, &object).await {
-        Ok(object) => Ok(first(op, object, chosen)),
-        Err(PlatformError::Exists(_)) => former(shared, op, &name).await,
+        Ok(object) => Ok(from_created(op, object, chosen)),
+        Err(PlatformError::Exists(_)) => from_existing(shared, op, &name).await,
         Err(error) if error.may_have_landed() => {
             let object = read_key(shared, &name).await?;
             // The reply was lost: whose write landed stands in the object.
             if object.written.operation == written {
-                return Ok(first(op, object, chosen));
+                return Ok(from_created(op, object, chosen));
             }
-            former(shared, op, &name).await
+            from_existing(shared, op, &name).await
         }
-        Err(_) => Err(Kind::KeyUnknown),
+        Err(_) => Err(ProblemKind::KeyUnknown),
     }
 }
 
-fn first(op: OpId, object: Object<KeySpec>, chosen: Option<Chosen>) -> Places {
-    Places { op, bindings: object.spec.bindings, private: false, chosen, former: None }
+fn from_created(op: OpId, object: Object<KeySpec>, chosen: Option<ChosenServer>) -> BoundOperation {
+    BoundOperation { op, bindings: object.spec.bindings, exclusive: false, chosen, existing: None }
 }
 
-async fn former(shared: &Shared, op: OpId, name: &str) -> Result<Places, Kind> {
+async fn from_existing(
+    shared: &Shared,
+    op: OpId,
+    name: &str,
+) -> Result<BoundOperation, ProblemKind> {
     let object = read_key(shared, name).await?;
     let bindings = object.spec.bindings.clone();
-    Ok(Places { op, bindings, private: false, chosen: None, former: Some(object) })
+    Ok(BoundOperation { op, bindings, exclusive: false, chosen: None, existing: Some(object) })
 }
 
-async fn read_key(shared: &Shared, name: &str) -> Result<Object<KeySpec>, Kind> {
+async fn read_key(shared: &Shared, name: &str) -> Result<Object<KeySpec>, ProblemKind> {
     let read = shared.context.platform.get(Collection::Keys, name).await;
-    read.map_err(|_| Kind::KeyUnknown)
+    read.map_err(|_| ProblemKind::KeyUnknown)
 }
 
-fn mint(
+fn choose_bindings(
     shared: &Shared,
-    order: &Order,
-    term: Duration,
-) -> Result<(Vec<Binding>, Option<Chosen>), Kind> {
-    mint_for(shared, &order.service_name, &order.routing(&[]), term)
+    request: &ParsedRequest,
+    lifetime: Duration,
+) -> Result<(Vec<Binding>, Option<ChosenServer>), ProblemKind> {
+    choose_bindings_for(shared, &request.service_name, &request.routing(&[]), lifetime)
 }
 
-fn mint_for(
+fn choose_bindings_for(
     shared: &Shared,
     service: &str,
     request: &Request<'_>,
-    term: Duration,
-) -> Result<(Vec<Binding>, Option<Chosen>), Kind> {
+    lifetime: Duration,
+) -> Result<(Vec<Binding>, Option<ChosenServer>), ProblemKind> {
     let now = shared.context.clock.now();
     let view = lock(&shared.view);
     let mut rng = lock(&shared.rng);
-    let (bindings, chosen) = view.places(service, request, term, now, &mut *rng);
-    if bindings.is_empty() { Err(Kind::NoServer) } else { Ok((bindings, chosen)) }
+    let (bindings, chosen) = view.choose_bindings(service, request, lifetime, now, &mut *rng);
+    if bindings.is_empty() { Err(ProblemKind::NoServer) } else { Ok((bindings, chosen)) }
 }
 
-fn draw_op() -> OpId {
+fn random_op() -> OpId {
     // Not from the entry's own generator: a seeded one would draw the same
     // operations again after a restart.
     OpId(rand::rng().random())
--- a/src/mastweir/entry/mod.rs
+++ b/src/mastweir/entry/mod.rs
@@ -21,7 +21,7 @@
 mod http;
 mod keys;
 mod operator;
-mod order;
+mod parsed_request;
 mod problem;
 mod reply;
 mod status;
@@ -54,7 +54,7 @@
 use tokio::{net::TcpListener, sync::watch, task::JoinSet, time};
 
 /// Time that the platform's balancer has to see that an entry leaves.
-const BALANCER_LAG: Duration = Duration::from_millis(500);
+const BALANCER_DELAY: Duration = Duration::from_millis(500);
 
 /// How an entry is set up.
 #[derive(Clone, Debug)]
@@ -96,24 +96,24 @@
     pool: Pool,
     socket: Socket,
     table: Mutex<Table>,
-    config: table::Config,
-    view: Mutex<view::View>,
+    active_rows: table::ActiveRows,
+    view: Mutex<view::FleetView>,
     members: Mutex<Members>,
     limits: Mutex<admit::Limits>,
-    usage: Mutex<usage::Exchange>,
+    usage: Mutex<usage::UsageExchange>,
     budget: Mutex<RetryBudget>,
     /// Requests under which engines ended.
-    suspects: Mutex<PoisonRequests>,
+    poison_requests: Mutex<PoisonRequests>,
     rng: Mutex<StdRng>,
     decisions: decisions::Decisions,
     /// Maps that operators or the planner want, by group.
-    wanted: Mutex<HashMap<String, MapVersion>>,
+    target_maps: Mutex<HashMap<String, MapVersion>>,
     groups: Mutex<HashMap<String, GroupStatus>>,
     leaving: AtomicBool,
     /// Whether the table is being fetched from a peer, and whether peers are
     /// about to be told: a burst of rows must not begin either for each row.
-    fetching: AtomicBool,
-    telling: AtomicBool,
+    is_fetching: AtomicBool,
+    has_pending_notice: AtomicBool,
     active: AtomicUsize,
     stop: watch::Sender<bool>,
 }
@@ -134,11 +134,11 @@
         let (http, shutdown) = http::launch(shared.clone()).await?;
         let mut tasks = JoinSet::new();
         tasks.spawn(table::serve_peers(shared.clone(), listener));
-        tasks.spawn(table::follow(shared.clone()));
-        tasks.spawn(fleet::follow(shared.clone()));
+        tasks.spawn(table::watch_rows(shared.clone()));
+        tasks.spawn(fleet::watch_instances(shared.clone()));
         tasks.spawn(fleet::receive(shared.clone()));
-        tasks.spawn(fleet::beat(shared.clone()));
-        tasks.spawn(usage::exchange(shared.clone()));
+        tasks.spawn(fleet::send_heartbeats(shared.clone()));
+        tasks.spawn(usage::run_exchange(shared.clone()));
         tasks.spawn(groups::coordinate(shared.clone()));
         slog::info!(shared.context.log, "entry listens"; "http" => %http, "tcp" => %tcp,
             "udp" => %udp, "incarnation" => shared.context.incarnation.0);
@@ -172,7 +172,7 @@
         shared.leaving.store(true, Ordering::SeqCst);
         let active = || shared.active.load(Ordering::SeqCst);
         slog::info!(shared.context.log, "entry leaves"; "active" => active());
-        time::sleep(BALANCER_LAG).await;
+        time::sleep(BALANCER_DELAY).await;
         let idle = async {
             while active() > 0 {
                 time::sleep(Duration::from_millis(20)).await;
@@ -204,20 +204,20 @@
             pool: Pool::new(context.secret.clone()),
             socket,
             table: Mutex::default(),
-            config: table::Config::default(),
-            view: Mutex::new(view::View::new(&context.hall)),
+            active_rows: table::ActiveRows::default(),
+            view: Mutex::new(view::FleetView::new(&context.hall)),
             members: Mutex::new(Members::new(Default::default(), now)),
             limits: Mutex::default(),
             usage: Mutex::default(),
             budget: Mutex::default(),
-            suspects: Mutex::default(),
+            poison_requests: Mutex::default(),
             rng: Mutex::new(rng),
             decisions: decisions::Decisions::default(),
-            wanted: Mutex::default(),
+            target_maps: Mutex::default(),
             groups: Mutex::default(),
             leaving: AtomicBool::new(false),
-            fetching: AtomicBool::new(false),
-            telling: AtomicBool::new(false),
+            is_fetching: AtomicBool::new(false),
+            has_pending_notice: AtomicBool::new(false),
             active: AtomicUsize::new(0),
             stop: watch::channel(false).0,
             context,
@@ -228,8 +228,8 @@
     /// Whether it takes requests: it has a table, knows servers, and stays.
     fn is_ready(&self) -> bool {
         let has_table = lock(&self.table).complete() > 0;
-        let informed = lock(&self.view).is_informed();
-        has_table && informed && !self.leaving.load(Ordering::SeqCst)
+        let has_list = lock(&self.view).has_list();
+        has_table && has_list && !self.leaving.load(Ordering::SeqCst)
     }
 }
 
--- a/src/mastweir/entry/operator.rs
+++ b/src/mastweir/entry/operator.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Shared, lock,
-    problem::{Kind, Problem},
+    problem::{Problem, ProblemKind},
     reply::{Reply, bearer, json},
     status,
 };
@@ -16,47 +16,47 @@
 const LIVE: &str = "/-/live";
 const STATUS: &str = "/-/status";
 const EXPLAIN: &str = "/-/explain/";
-const WANT: &str = "/-/groups/";
+const GROUPS: &str = "/-/groups/";
 
 /// The map that an operator wants for a group.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Wanted {
+struct TargetMapBody {
     map: u64,
 }
 
 /// Answers an operator, or the platform's balancer.
-pub async fn answer(shared: &Arc<Shared>, request: &Request<'_>, data: Data<'_>) -> Reply {
+pub async fn handle(shared: &Arc<Shared>, request: &Request<'_>, data: Data<'_>) -> Reply {
     let path = request.uri().path().as_str();
     match path {
         LIVE => return json(&true),
         READY if shared.is_ready() => return json(&true),
-        READY => return problem(Kind::NotReady),
+        READY => return problem(ProblemKind::NotReady),
         _ => (),
     }
     if !is_operator(shared, request) {
-        return problem(Kind::Unauthorized);
+        return problem(ProblemKind::Unauthorized);
     }
     if path == STATUS {
-        return json(&status::of(shared));
+        return json(&status::collect(shared));
     }
     if let Some(subject) = path.strip_prefix(EXPLAIN) {
         let subject = subject.replace("%20", " ");
-        return json(&shared.decisions.on(&subject));
+        return json(&shared.decisions.about(&subject));
     }
-    if let Some(group) = path.strip_prefix(WANT) {
-        return want(shared, group, data).await;
+    if let Some(group) = path.strip_prefix(GROUPS) {
+        return set_target_map(shared, group, data).await;
     }
-    problem(Kind::NoService)
+    problem(ProblemKind::NoService)
 }
 
-async fn want(shared: &Shared, group: &str, data: Data<'_>) -> Reply {
+async fn set_target_map(shared: &Shared, group: &str, data: Data<'_>) -> Reply {
     let body = data.open(ByteUnit::from(1_024)).into_bytes().await;
     let body = body.map(rocket::data::Capped::into_inner).unwrap_or_default();
-    let Ok(wanted) = serde_json::from_slice::<Wanted>(&body) else {
-        return problem(Kind::BadRequest);
+    let Ok(target) = serde_json::from_slice::<TargetMapBody>(&body) else {
+        return problem(ProblemKind::BadRequest);
     };
-    lock(&shared.wanted).insert(group.to_owned(), MapVersion(wanted.map));
-    json(&wanted)
+    lock(&shared.target_maps).insert(group.to_owned(), MapVersion(target.map));
+    json(&target)
 }
 
 fn is_operator(shared: &Shared, request: &Request<'_>) -> bool {
@@ -65,6 +65,6 @@
     bool::from(hash.as_bytes().ct_eq(shared.options.operator.as_bytes()))
 }
 
-fn problem(kind: Kind) -> Reply {
+fn problem(kind: ProblemKind) -> Reply {
     Reply::Problem(Problem::new(kind, Outcome::NotRun, "", None))
 }
--- a/src/mastweir/entry/order.rs
+++ b/src/mastweir/entry/parsed_request.rs
@@ -8,7 +8,7 @@
 
 /// A request that was read and let in.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct ParsedRequest {
     /// Its id.
     pub id: String,
     /// Name of its customer.
@@ -24,7 +24,7 @@
     /// Path and query at the server.
     pub path: String,
     /// Content type of the body.
-    pub content: Option<String>,
+    pub content_type: Option<String>,
     /// The body.
     pub body: Vec<u8>,
     /// Whether a stream is asked for.
@@ -36,10 +36,10 @@
     /// Units estimated in all.
     pub cost: u32,
     /// Hash of the prompt's prefix.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
 }
 
-impl Order {
+impl ParsedRequest {
     /// What it has in common with other submissions of the same request.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(RequestParts {
@@ -52,6 +52,6 @@
 
     /// What the router looks at.
     pub fn routing<'a>(&self, tried: &'a [String]) -> Request<'a> {
-        Request { prefix: self.prefix, saved_units: self.prefill / 2, cost: self.cost, tried }
+        Request { prefix: self.prefix_hash, saved_units: self.prefill / 2, cost: self.cost, tried }
     }
 }
--- a/src/mastweir/entry/problem.rs
+++ b/src/mastweir/entry/problem.rs
@@ -29,7 +29,7 @@
 
 /// Kinds of problems.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ProblemKind {
     /// No such key.
     Unauthorized,
     /// No such service or model.
@@ -53,20 +53,20 @@
     /// The ticket is not valid.
     BadTicket,
     /// It ran, and its answer is not kept.
-    AnswerGone,
+    AnswerEvicted,
     /// Engines ended under it.
     Quarantined,
     /// This entry leaves, or has not caught up yet.
     NotReady,
 }
 
-impl Kind {
+impl ProblemKind {
     /// The kind for a call that ended with this.
     pub const fn of(outcome: Outcome, evidence: Option<Evidence>) -> Self {
         match evidence {
             Some(Evidence::Refused(Refusal::Overloaded | Refusal::TableFull)) => Self::Overloaded,
             Some(Evidence::Refused(Refusal::Deadline)) => Self::Deadline,
-            Some(Evidence::Refused(Refusal::AnswerEvicted)) => Self::AnswerGone,
+            Some(Evidence::Refused(Refusal::AnswerEvicted)) => Self::AnswerEvicted,
             Some(Evidence::Refused(Refusal::Expired)) => Self::BadTicket,
             Some(Evidence::Refused(
                 Refusal::Leaving
@@ -89,7 +89,7 @@
         }
     }
 
-    const fn parts(self) -> (&'static str, u16, &'static str, &'static str) {
+    const fn details(self) -> (&'static str, u16, &'static str, &'static str) {
         match self {
             Self::Unauthorized => (
                 "unauthorized",
@@ -154,7 +154,7 @@
                 "the ticket is not valid any more, or not for this",
                 "get a new ticket with POST /v1/tickets, if you know that the old one did not run",
             ),
-            Self::AnswerGone => (
+            Self::AnswerEvicted => (
                 "answer-gone",
                 409,
                 "it has run, and its answer is not kept any more",
@@ -178,8 +178,13 @@
 
 impl Problem {
     /// A problem of a request.
-    pub fn new(kind: Kind, outcome: Outcome, request: &str, retry_after: Option<u32>) -> Self {
-        let (slug, status, title, remedy) = kind.parts();
+    pub fn new(
+        kind: ProblemKind,
+        outcome: Outcome,
+        request: &str,
+        retry_after: Option<u32>,
+    ) -> Self {
+        let (slug, status, title, remedy) = kind.details();
         let retry_after = retry_after.or(kind.retry_after(status));
         Self {
             kind: format!("urn:mastweir:problem:{slug}"),
--- a/src/mastweir/entry/reply.rs
+++ b/src/mastweir/entry/reply.rs
@@ -9,11 +9,11 @@
 #[derive(Debug)]
 pub enum Reply {
     /// All of it.
-    Whole {
+    Complete {
         /// HTTP status.
         status: u16,
         /// Content type.
-        content: Option<String>,
+        content_type: Option<String>,
         /// The body.
         body: Vec<u8>,
     },
@@ -22,9 +22,9 @@
         /// HTTP status.
         status: u16,
         /// Content type.
-        content: Option<String>,
+        content_type: Option<String>,
         /// Its units.
-        units: mpsc::Receiver<Bytes>,
+        chunks: mpsc::Receiver<Bytes>,
     },
     /// No answer.
     Problem(Problem),
@@ -38,5 +38,5 @@
 /// A JSON answer.
 pub fn json<T: serde::Serialize>(value: &T) -> Reply {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    Reply::Whole { status: 200, content: Some("application/json".to_owned()), body }
+    Reply::Complete { status: 200, content_type: Some("application/json".to_owned()), body }
 }
--- a/src/mastweir/entry/status.rs
+++ b/src/mastweir/entry/status.rs
@@ -99,7 +99,7 @@
 
 /// The status now. Each lock is given back before the next is taken: within one
 /// expression they would all be held to its end.
-pub fn of(shared: &Shared) -> EntryStatus {
+pub fn collect(shared: &Shared) -> EntryStatus {
     let table = lock(&shared.table).complete();
     let alive = lock(&shared.members).alive().map(str::to_owned).collect();
     let groups = lock(&shared.groups).values().cloned().collect();
@@ -126,18 +126,18 @@
     let view = lock(&shared.view);
     let mut servers = Vec::new();
     for (service, router) in view.routers() {
-        for (place, known) in router.servers().iter().enumerate() {
-            let report = known.report.as_ref();
+        for (index, server) in router.servers().iter().enumerate() {
+            let report = server.report.as_ref();
             servers.push(ServerStatus {
-                name: known.name.clone(),
+                name: server.name.clone(),
                 service: service.to_owned(),
                 reported: report.is_some(),
                 age_s: report.map_or(0.0, |(_, at)| now.since(*at).as_secs_f64()),
                 waiting: report.map_or(0, |(load, _)| load.waiting),
                 running: report.map_or(0, |(load, _)| load.running),
-                leaving: known.leaving || report.is_some_and(|(load, _)| load.leaving),
-                ejected: known.health.is_ejected(now),
-                wait_s: report.map_or(0.0, |_| router.expected_wait(place, now)),
+                leaving: server.leaving || report.is_some_and(|(load, _)| load.leaving),
+                ejected: server.health.is_ejected(now),
+                wait_s: report.map_or(0.0, |_| router.expected_wait(index, now)),
                 skew: report.map_or(0, |(load, _)| load.skew),
             });
         }
@@ -147,7 +147,7 @@
 }
 
 fn shares(shared: &Shared) -> Vec<ShareStatus> {
-    let rows = shared.config.rows();
+    let rows = shared.active_rows.get();
     let total: f64 = rows.customers.values().map(|row| row.weight).sum();
     let usage = lock(&shared.usage);
     let limits = lock(&shared.limits);
@@ -159,7 +159,7 @@
             promised_pct: 100.0 * row.weight / total.max(f64::MIN_POSITIVE),
             own_rate,
             fleet_rate,
-            chance: usage.chance(name, row.weight),
+            chance: usage.admit_ratio(name, row.weight),
             inflight: limits.inflight(name),
         }
     };
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -31,7 +31,7 @@
 /// Entries of a hall that watch the platform.
 const WATCHERS: usize = 2;
 /// Time between looks whether this entry is to watch.
-const IDLE: Duration = Duration::from_millis(500);
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Longest wait after the platform failed.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 const RETRY_MIN: Duration = Duration::from_millis(100);
@@ -39,15 +39,15 @@
 /// by the two watchers of each of 7 halls.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
 /// Time in which changes are gathered before peers are told of them.
-const GATHER: Duration = Duration::from_millis(10);
+const NOTIFY_DELAY: Duration = Duration::from_millis(10);
 /// Time for a peer to send what is lacking.
-const FETCH_TIME: Duration = Duration::from_secs(3);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Rows of one frame at most; a row is at most some hundred bytes.
 const ROWS_MAX: usize = 100;
 
 /// The rows that requests need, by how they need them.
 #[derive(Debug, Default)]
-pub struct Rows {
+pub struct TableRows {
     /// Customers by the hash of their key.
     pub by_key: HashMap<String, (String, Customer)>,
     /// Customers by name.
@@ -58,23 +58,23 @@
 
 /// The rows in force, as one value that is replaced whole.
 #[derive(Debug, Default)]
-pub struct Config {
-    rows: Mutex<Arc<Rows>>,
+pub struct ActiveRows {
+    rows: Mutex<Arc<TableRows>>,
 }
 
-impl Config {
+impl ActiveRows {
     /// The rows in force now.
-    pub fn rows(&self) -> Arc<Rows> {
+    pub fn get(&self) -> Arc<TableRows> {
         lock(&self.rows).clone()
     }
 
     fn set(&self, table: &Table) {
-        let mut rows = Rows::default();
+        let mut rows = TableRows::default();
         for (key, row) in table.rows() {
             match row {
                 Row::Customer(customer) => {
-                    let both = (key.name.clone(), customer.clone());
-                    rows.by_key.insert(customer.key_hash.clone(), both);
+                    let entry = (key.name.clone(), customer.clone());
+                    rows.by_key.insert(customer.key_hash.clone(), entry);
                     rows.customers.insert(key.name.clone(), customer.clone());
                 }
                 Row::Service(service) => {
@@ -88,14 +88,14 @@
 }
 
 /// Watches the platform as long as it is this entry's turn.
-pub async fn follow(shared: Arc<Shared>) {
+pub async fn watch_rows(shared: Arc<Shared>) {
     let mut wait = RETRY_MIN;
     loop {
         if !is_watcher(&shared) {
-            time::sleep(IDLE).await;
+            time::sleep(CHECK_PERIOD).await;
             continue;
         }
-        match watch(&shared).await {
+        match watch_once(&shared).await {
             Ok(()) => wait = RETRY_MIN,
             Err(error) => {
                 slog::warn!(shared.context.log, "can't watch the table; goes on with what it has";
@@ -109,12 +109,12 @@
 
 /// Fetches what a peer has and this entry lacks.
 pub async fn fetch(shared: &Arc<Shared>, addr: SocketAddr) {
-    if shared.fetching.swap(true, Ordering::SeqCst) {
+    if shared.is_fetching.swap(true, Ordering::SeqCst) {
         // What comes later is in the next heartbeat.
         return;
     }
-    let fetched = time::timeout(FETCH_TIME, fetch_parts(shared, addr)).await;
-    shared.fetching.store(false, Ordering::SeqCst);
+    let fetched = time::timeout(FETCH_TIMEOUT, fetch_delta(shared, addr)).await;
+    shared.is_fetching.store(false, Ordering::SeqCst);
     if let Ok(Err(error)) = fetched {
         slog::debug!(shared.context.log, "can't fetch the table from a peer";
             "peer" => %addr, "error" => %error);
@@ -125,12 +125,12 @@
 pub async fn serve_peers(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            time::sleep(IDLE).await;
+            time::sleep(CHECK_PERIOD).await;
             continue;
         };
         let shared = shared.clone();
         tokio::spawn(async move {
-            let served = time::timeout(FETCH_TIME, serve_peer(&shared, stream)).await;
+            let served = time::timeout(FETCH_TIMEOUT, serve_peer(&shared, stream)).await;
             if !matches!(served, Ok(Ok(()))) {
                 shared.context.metrics.count("peer.refused");
             }
@@ -143,7 +143,7 @@
     let own = shared.context.name.as_str();
     let view = lock(&shared.view);
     let members = lock(&shared.members);
-    let entries = view.of_role(InstanceRole::Entry);
+    let entries = view.with_role(InstanceRole::Entry);
     let peers = entries.filter(|(_, spec)| spec.hall == shared.context.hall);
     let mut alive: Vec<&str> =
         peers.map(|(name, _)| name).filter(|name| members.is_alive(name)).collect();
@@ -153,25 +153,26 @@
     alive.iter().take(WATCHERS).any(|name| *name == own)
 }
 
-async fn watch(shared: &Arc<Shared>) -> eyre::Result<()> {
+async fn watch_once(shared: &Arc<Shared>) -> eyre::Result<()> {
     let platform = &shared.context.platform;
     let list = platform.list::<serde_json::Value>(Collection::Rows).await?;
     let upto = list.metadata.resource_version.parse().unwrap_or(0);
-    let rows = list.items.iter().filter_map(|object| stored(shared, object, false)).collect();
+    let rows =
+        list.items.iter().filter_map(|object| versioned_row(shared, object, false)).collect();
     merge(shared, &Delta { after: 0, upto, rows });
     // The list may be stale: watch from where it ends, not from what is held.
     let events = platform.watch::<serde_json::Value>(Collection::Rows, upto).await?;
-    let lost = outage(platform, Collection::Rows, PROBE_EVERY, &shared.context.log);
-    let mut events = pin!(events.take_until(lost));
+    let outage = outage(platform, Collection::Rows, PROBE_EVERY, &shared.context.log);
+    let mut events = pin!(events.take_until(outage));
     while let Some(event) = events.next().await {
         let change = match event? {
             WatchEvent::Added(object) | WatchEvent::Modified(object) => {
-                stored(shared, &object, false)
+                versioned_row(shared, &object, false)
             }
-            WatchEvent::Deleted(object) => stored(shared, &object, true),
+            WatchEvent::Deleted(object) => versioned_row(shared, &object, true),
         };
         if let Some(change) = change {
-            take_change(shared, change);
+            apply_change(shared, change);
         }
         if !is_watcher(shared) {
             return Ok(());
@@ -182,7 +183,7 @@
 
 /// One row as the table keeps it. A row that can't be read, or is bad, is left
 /// as it was, and does not stop the others.
-fn stored(
+fn versioned_row(
     shared: &Shared,
     object: &Object<serde_json::Value>,
     deleted: bool,
@@ -204,19 +205,19 @@
             slog::error!(shared.context.log, "a row in the object API is bad; keeps the former one";
                 "row" => name, "error" => error);
             shared.context.metrics.count("table.bad_row");
-            let former = lock(&shared.table).get(&key).cloned();
-            former.map(|row| VersionedRow { key, version, row: Some(row) })
+            let previous = lock(&shared.table).get(&key).cloned();
+            previous.map(|row| VersionedRow { key, version, row: Some(row) })
         }
     }
 }
 
-fn take_change(shared: &Arc<Shared>, change: VersionedRow) {
+fn apply_change(shared: &Arc<Shared>, change: VersionedRow) {
     let key = change.key.clone();
     let version = change.version;
-    let newer = lock(&shared.table).apply_event(change);
-    if newer {
+    let changed = lock(&shared.table).apply_event(change);
+    if changed {
         slog::info!(shared.context.log, "row in force"; "row" => %key, "version" => version);
-        in_force(shared);
+        activate(shared);
     }
 }
 
@@ -229,48 +230,48 @@
     if merged {
         slog::info!(shared.context.log, "table in force"; "version" => delta.upto,
             "rows" => delta.rows.len());
-        in_force(shared);
+        activate(shared);
     }
 }
 
 /// Requests see the change from here on, and peers are told at once.
-fn in_force(shared: &Arc<Shared>) {
+fn activate(shared: &Arc<Shared>) {
     let drained: HashSet<String> = {
         let table = lock(&shared.table);
-        shared.config.set(&table);
+        shared.active_rows.set(&table);
         let drains = table.rows().filter(|(key, _)| key.kind == RowKind::Drain);
         drains.map(|(key, _)| key.name.clone()).collect()
     };
-    lock(&shared.view).drain(drained);
-    if shared.telling.swap(true, Ordering::SeqCst) {
+    lock(&shared.view).set_drained(drained);
+    if shared.has_pending_notice.swap(true, Ordering::SeqCst) {
         return;
     }
     let shared = shared.clone();
     tokio::spawn(async move {
-        time::sleep(GATHER).await;
-        shared.telling.store(false, Ordering::SeqCst);
-        heartbeat::tell_some(&shared).await;
+        time::sleep(NOTIFY_DELAY).await;
+        shared.has_pending_notice.store(false, Ordering::SeqCst);
+        heartbeat::send_to_some(&shared).await;
     });
 }
 
-async fn fetch_parts(shared: &Arc<Shared>, addr: SocketAddr) -> Result<(), ChannelError> {
+async fn fetch_delta(shared: &Arc<Shared>, addr: SocketAddr) -> Result<(), ChannelError> {
     let mut channel = shared.pool.get(addr).await?;
     let digest = lock(&shared.table).digest();
     channel.sender.send(&PeerFrame::Request(digest)).await?;
-    let mut whole: Option<Delta> = None;
+    let mut received: Option<Delta> = None;
     loop {
         let PeerFrame::Rows { delta, more } = channel.receiver.recv().await? else {
             return Err(ChannelError::Closed);
         };
-        match &mut whole {
-            None => whole = Some(delta),
-            Some(whole) => whole.rows.extend(delta.rows),
+        match &mut received {
+            None => received = Some(delta),
+            Some(received) => received.rows.extend(delta.rows),
         }
         if !more {
             break;
         }
     }
-    if let Some(delta) = whole {
+    if let Some(delta) = received {
         merge(shared, &delta);
     }
     shared.pool.put(addr, channel);
@@ -283,26 +284,26 @@
         return Err(ChannelError::Closed);
     };
     let delta = lock(&shared.table).delta_since(digest);
-    for frame in parts(&delta) {
+    for frame in frames(&delta) {
         channel.sender.send(&frame).await?;
     }
     Ok(())
 }
 
 /// A delta in parts that fit into frames.
-fn parts(delta: &Delta) -> Vec<PeerFrame> {
+fn frames(delta: &Delta) -> Vec<PeerFrame> {
     const _: () = assert!(ROWS_MAX * 512 < FRAME_MAX);
     let Delta { after, upto, rows } = delta;
-    let mut parts: Vec<Vec<VersionedRow>> = rows.chunks(ROWS_MAX).map(<[_]>::to_vec).collect();
-    if parts.is_empty() {
-        parts.push(Vec::new());
+    let mut chunks: Vec<Vec<VersionedRow>> = rows.chunks(ROWS_MAX).map(<[_]>::to_vec).collect();
+    if chunks.is_empty() {
+        chunks.push(Vec::new());
     }
-    let last = parts.len() - 1;
+    let last = chunks.len() - 1;
     let frame = |(i, rows)| {
         let delta = Delta { after: *after, upto: *upto, rows };
         PeerFrame::Rows { delta, more: i < last }
     };
-    parts.into_iter().enumerate().map(frame).collect()
+    chunks.into_iter().enumerate().map(frame).collect()
 }
 
 /// Whether a peer's digest is ahead of what is in force here.
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -1,6 +1,6 @@
 //! What customers received, here and fleet-wide.
 
-use super::{Shared, lock, view::Waits};
+use super::{Shared, lock, view::QueueStats};
 use crate::objects::InstanceRole;
 use mastweir_core::{
     share::{
@@ -14,123 +14,124 @@
 use tokio::time;
 
 /// Time between exchanges in a small fleet, and in any.
-const PERIOD: Duration = Duration::from_secs(1);
+const PERIOD_MIN: Duration = Duration::from_secs(1);
 const PERIOD_MAX: Duration = Duration::from_secs(12);
 /// Bytes a second that the exchange may take at a hall's leader.
-const BUDGET: f64 = 1_500.0;
+const BANDWIDTH: f64 = 1_500.0;
 /// Bytes of a datagram beyond its packet: headers, envelope and hash.
-const AROUND: usize = 28 + 30 + 16;
+const DATAGRAM_OVERHEAD: usize = 28 + 30 + 16;
 /// Part by which servers' interval may grow before they are asked anew.
 const INTERVAL_DRIFT: f64 = 1.3;
 /// Weight of the newest reading in a smoothed rate.
 const RATE_SMOOTH: f64 = 0.3;
 /// Units a second below which a customer is forgotten.
-const RATE_LEAST: f64 = 0.5;
+const RATE_MIN: f64 = 0.5;
 
 /// Weights of customers in the table.
 type Weights = HashMap<CustomerTag, f64>;
 /// Time between two subscriptions to the same server, in report intervals.
-const SUBSCRIBE_EVERY: u32 = 3;
-const SUBSCRIBE_MIN: Duration = Duration::from_secs(4);
+const RENEW_INTERVALS: u32 = 3;
+const RENEW_MIN: Duration = Duration::from_secs(4);
 
 /// How often to exchange, so that it stays within its budget. A hall's leader
 /// decides for the hall.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct PeriodControl {
     period: Duration,
     /// Bytes since the last exchange.
     bytes: usize,
 }
 
-impl Default for Pace {
+impl Default for PeriodControl {
     fn default() -> Self {
-        Self { period: PERIOD, bytes: 0 }
+        Self { period: PERIOD_MIN, bytes: 0 }
     }
 }
 
-impl Pace {
-    fn count(&mut self, usage: &Usage, times: usize) {
-        self.bytes += times * (wire::encoded_len(&Packet::Usage(usage.clone())) + AROUND);
+impl PeriodControl {
+    fn add_bytes(&mut self, usage: &Usage, times: usize) {
+        self.bytes +=
+            times * (wire::encoded_len(&Packet::Usage(usage.clone())) + DATAGRAM_OVERHEAD);
     }
 
-    fn decide(&mut self) {
-        let needed = Duration::from_secs_f64(self.bytes as f64 / BUDGET);
-        self.period = needed.clamp(PERIOD, PERIOD_MAX);
+    fn adjust(&mut self) {
+        let needed = Duration::from_secs_f64(self.bytes as f64 / BANDWIDTH);
+        self.period = needed.clamp(PERIOD_MIN, PERIOD_MAX);
         self.bytes = 0;
     }
 }
 
 /// The entry's part in the exchange.
 #[derive(Debug, Default)]
-pub struct Exchange {
+pub struct UsageExchange {
     /// Units that customers asked for here in the present period.
-    own: HashMap<CustomerTag, u64>,
+    offered: HashMap<CustomerTag, u64>,
     /// Units a second that they ask for here.
-    own_rate: HashMap<CustomerTag, f64>,
+    own_rates: HashMap<CustomerTag, f64>,
     /// On its way up: from here and from children.
-    up: PendingUsage,
+    pending: PendingUsage,
     /// What other halls' leaders sent.
-    foreign: PendingUsage,
-    gate: AdmissionControl,
+    remote: PendingUsage,
+    admission: AdmissionControl,
     estimator: CostEstimator<String>,
     /// When servers were last asked for reports, and how often.
-    subscribed: HashMap<SocketAddr, (Uptime, Duration)>,
-    pace: Pace,
+    subscriptions: HashMap<SocketAddr, (Uptime, Duration)>,
+    period_control: PeriodControl,
 }
 
-impl Exchange {
+impl UsageExchange {
     /// A customer asks for units. Whether that is within its share.
-    pub fn ask(&mut self, customer: &str, weight: f64, units: u32, start: f64) -> bool {
+    pub fn admit(&mut self, customer: &str, weight: f64, units: u32, draw: f64) -> bool {
         let tag = CustomerTag::of(customer);
-        *self.own.entry(tag).or_default() += u64::from(units);
-        self.up.add_offered(tag, u64::from(units));
-        self.gate.admit(tag, weight, f64::from(units), start)
+        *self.offered.entry(tag).or_default() += u64::from(units);
+        self.pending.add_offered(tag, u64::from(units));
+        self.admission.admit(tag, weight, f64::from(units), draw)
     }
 
     /// A customer received service for a request for which `named` units were
     /// named.
-    pub fn received(&mut self, customer: &str, named: u32, units: u32) {
-        self.up.add_delivered(u64::from(units));
+    pub fn record_cost(&mut self, customer: &str, requested: u32, units: u32) {
+        self.pending.add_delivered(u64::from(units));
         if units > 0 {
-            self.estimator.record(customer.to_owned(), named, units);
+            self.estimator.record(customer.to_owned(), requested, units);
         }
     }
 
     /// Units to expect of a request for which `named` units were named.
-    pub fn expect(&self, customer: &str, named: u32) -> u32 {
-        self.estimator.estimate(customer, named)
+    pub fn estimate(&self, customer: &str, requested: u32) -> u32 {
+        self.estimator.estimate(customer, requested)
     }
 
     /// A customer's rate here and fleet-wide, in units a second.
     pub fn rates(&self, customer: &str) -> (u64, u64) {
         let tag = CustomerTag::of(customer);
-        let own = self.own_rate.get(&tag).copied().unwrap_or(0.0);
-        let fleet = self.gate.rate(tag).unwrap_or(0.0);
+        let own = self.own_rates.get(&tag).copied().unwrap_or(0.0);
+        let fleet = self.admission.rate(tag).unwrap_or(0.0);
         (own as u64, fleet.max(own) as u64)
     }
 
     /// The part of a customer's requests that is let in.
-    pub fn chance(&self, customer: &str, weight: f64) -> f64 {
-        self.gate.admit_ratio(CustomerTag::of(customer), weight)
+    pub fn admit_ratio(&self, customer: &str, weight: f64) -> f64 {
+        self.admission.admit_ratio(CustomerTag::of(customer), weight)
     }
 
     /// Servers whose subscription is due.
-    pub fn subscription_due(
+    pub fn due_subscriptions(
         &mut self,
-        watched: &[SocketAddr],
-        every: Duration,
+        addrs: &[SocketAddr],
+        period: Duration,
         now: Uptime,
     ) -> Vec<SocketAddr> {
-        let term = (every * SUBSCRIBE_EVERY).max(SUBSCRIBE_MIN);
-        self.subscribed.retain(|addr, _| watched.contains(addr));
+        let lifetime = (period * RENEW_INTERVALS).max(RENEW_MIN);
+        self.subscriptions.retain(|addr, _| addrs.contains(addr));
         let mut due = Vec::new();
-        for addr in watched {
+        for addr in addrs {
             // What was asked for in a smaller fleet is too often by now.
-            let holds = |(at, asked): &(Uptime, Duration)| {
-                now.since(*at) < term && every < asked.mul_f64(INTERVAL_DRIFT)
+            let is_current = |(at, requested): &(Uptime, Duration)| {
+                now.since(*at) < lifetime && period < requested.mul_f64(INTERVAL_DRIFT)
             };
-            if !self.subscribed.get(addr).is_some_and(holds) {
-                self.subscribed.insert(*addr, (now, every));
+            if !self.subscriptions.get(addr).is_some_and(is_current) {
+                self.subscriptions.insert(*addr, (now, period));
                 due.push(*addr);
             }
         }
@@ -138,45 +139,45 @@
     }
 
     /// Closes a period of so many seconds.
-    fn close(&mut self, seconds: f64, waits: &Waits) {
-        self.gate.observe(waits.seconds, waits.room);
-        for (customer, rate) in &mut self.own_rate {
-            let units = self.own.remove(customer).unwrap_or(0);
+    fn close_period(&mut self, seconds: f64, queues: &QueueStats) {
+        self.admission.observe(queues.wait_s, queues.queue_slots);
+        for (customer, rate) in &mut self.own_rates {
+            let units = self.offered.remove(customer).unwrap_or(0);
             *rate += RATE_SMOOTH * (units as f64 / seconds - *rate);
         }
-        let new = self.own.drain().map(|(customer, units)| (customer, units as f64 / seconds));
-        self.own_rate.extend(new);
-        self.own_rate.retain(|_, rate| *rate > RATE_LEAST);
+        let new = self.offered.drain().map(|(customer, units)| (customer, units as f64 / seconds));
+        self.own_rates.extend(new);
+        self.own_rates.retain(|_, rate| *rate > RATE_MIN);
     }
 
     /// The fleet-wide sum of a period has come.
-    fn take_total(&mut self, now: Uptime, usage: &Usage, weights: &Weights) {
-        self.pace.period = Duration::from_millis(u64::from(usage.period_ms));
+    fn apply_total(&mut self, now: Uptime, usage: &Usage, weights: &Weights) {
+        self.period_control.period = Duration::from_millis(u64::from(usage.period_ms));
         let offered = |row: &UsageRow| {
             let weight = *weights.get(&row.customer)?;
             Some(OfferedLoad { customer: row.customer, units: f64::from(row.units), weight })
         };
         let rows: Vec<OfferedLoad> = usage.rows.iter().filter_map(offered).collect();
-        let seconds = self.pace.period.as_secs_f64();
+        let seconds = self.period_control.period.as_secs_f64();
         let fleet = FleetUsage { offered: usage.offered as f64, delivered: usage.delivered as f64 };
-        self.gate.update(now.as_secs_f64(), &rows, seconds, fleet);
+        self.admission.update(now.as_secs_f64(), &rows, seconds, fleet);
     }
 }
 
 /// Exchanges usage, period by period.
-pub async fn exchange(shared: Arc<Shared>) {
+pub async fn run_exchange(shared: Arc<Shared>) {
     let mut closed = shared.context.clock.now();
     loop {
-        let period = lock(&shared.usage).pace.period;
+        let period = lock(&shared.usage).period_control.period;
         time::sleep(period).await;
         let now = shared.context.clock.now();
-        let waits = lock(&shared.view).waits(now);
-        lock(&shared.usage).close(now.since(closed).as_secs_f64().max(1e-3), &waits);
+        let queues = lock(&shared.view).queue_stats(now);
+        lock(&shared.usage).close_period(now.since(closed).as_secs_f64().max(1e-3), &queues);
         closed = now;
         let tree = tree(&shared);
         let weights = weights(&shared);
         let usage =
-            lock(&shared.usage).up.next_packet(false, |customer| weight(&weights, customer));
+            lock(&shared.usage).pending.next_packet(false, |customer| weight(&weights, customer));
         match &tree.parent {
             Some(parent) => send_all(&shared, slice::from_ref(parent), &usage).await,
             None => share_total(&shared, &tree, &usage, &weights).await,
@@ -186,10 +187,10 @@
 
 /// Takes another entry's rows in. A total is passed on down the tree.
 pub fn receive(shared: &Arc<Shared>, from: &str, usage: Usage) {
-    lock(&shared.usage).pace.count(&usage, 1);
+    lock(&shared.usage).period_control.add_bytes(&usage, 1);
     if usage.total {
         let now = shared.context.clock.now();
-        lock(&shared.usage).take_total(now, &usage, &weights(shared));
+        lock(&shared.usage).apply_total(now, &usage, &weights(shared));
         let tree = tree(shared);
         if tree.role == TreeRole::Leader {
             let shared = shared.clone();
@@ -197,9 +198,9 @@
         }
         return;
     }
-    let near = lock(&shared.view).instance(from).is_some_and(|s| s.hall == shared.context.hall);
+    let is_local = lock(&shared.view).instance(from).is_some_and(|s| s.hall == shared.context.hall);
     let mut exchange = lock(&shared.usage);
-    let pending = if near { &mut exchange.up } else { &mut exchange.foreign };
+    let pending = if is_local { &mut exchange.pending } else { &mut exchange.remote };
     pending.merge(&usage);
 }
 
@@ -209,14 +210,14 @@
     send_all(shared, &tree.peers, usage).await;
     let total = {
         let mut exchange = lock(&shared.usage);
-        exchange.foreign.merge(usage);
-        let mut total = exchange.foreign.next_packet(true, |customer| weight(weights, customer));
-        exchange.pace.count(&total, tree.children.len());
-        exchange.pace.count(usage, tree.peers.len());
-        exchange.pace.decide();
-        let period = exchange.pace.period.as_millis();
+        exchange.remote.merge(usage);
+        let mut total = exchange.remote.next_packet(true, |customer| weight(weights, customer));
+        exchange.period_control.add_bytes(&total, tree.children.len());
+        exchange.period_control.add_bytes(usage, tree.peers.len());
+        exchange.period_control.adjust();
+        let period = exchange.period_control.period.as_millis();
         total.period_ms = u32::try_from(period).unwrap_or(u32::MAX);
-        exchange.take_total(shared.context.clock.now(), &total, weights);
+        exchange.apply_total(shared.context.clock.now(), &total, weights);
         total
     };
     send_all(shared, &tree.children, &total).await;
@@ -227,7 +228,7 @@
 }
 
 fn weights(shared: &Shared) -> Weights {
-    let rows = shared.config.rows();
+    let rows = shared.active_rows.get();
     rows.customers.iter().map(|(name, row)| (CustomerTag::of(name), row.weight)).collect()
 }
 
@@ -235,12 +236,12 @@
     let view = lock(&shared.view);
     let members = lock(&shared.members);
     let own = shared.context.name.as_str();
-    let entries = view.of_role(InstanceRole::Entry);
+    let entries = view.with_role(InstanceRole::Entry);
     let alive = entries.filter(|(name, _)| *name == own || members.is_alive(name));
-    let mut places: Vec<(&str, &str)> =
+    let mut entries_by_hall: Vec<(&str, &str)> =
         alive.map(|(name, spec)| (spec.hall.as_str(), name)).collect();
-    places.push((&shared.context.hall, own));
-    UsageTree::of(own, &places)
+    entries_by_hall.push((&shared.context.hall, own));
+    UsageTree::of(own, &entries_by_hall)
 }
 
 async fn send_all(shared: &Shared, names: &[String], usage: &Usage) {
--- a/src/mastweir/entry/view.rs
+++ b/src/mastweir/entry/view.rs
@@ -16,24 +16,24 @@
     time::Duration,
 };
 
-/// Places of an operation that may not be repeated.
-const PLACES: usize = 3;
+/// Bindings of an operation that may not be repeated.
+const BINDINGS_MAX: usize = 3;
 
 /// Units of a request, while none waits.
-const COST_GUESS: f64 = 100.0;
+const DEFAULT_COST: f64 = 100.0;
 
 /// What waits at a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Waits {
+pub struct QueueStats {
     /// Seconds of work.
-    pub seconds: f64,
+    pub wait_s: f64,
     /// Requests that its queue has room for.
-    pub room: f64,
+    pub queue_slots: f64,
 }
 
 /// A chosen server.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ChosenServer {
     /// The agent's life.
     pub fence: Fence,
     /// The decision, for the log line.
@@ -44,17 +44,17 @@
 
 /// Instances, and a router for each service.
 #[derive(Debug)]
-pub struct View {
+pub struct FleetView {
     hall: String,
     instances: BTreeMap<String, InstanceSpec>,
     routers: HashMap<String, Router>,
     drained: HashSet<String>,
     /// Entries in the list, counted once a change and not once a request.
-    entries: u32,
-    listed: bool,
+    entry_count: u32,
+    has_list: bool,
 }
 
-impl View {
+impl FleetView {
     /// Nothing is known yet.
     pub fn new(hall: &str) -> Self {
         Self {
@@ -62,14 +62,14 @@
             instances: BTreeMap::new(),
             routers: HashMap::new(),
             drained: HashSet::new(),
-            entries: 0,
-            listed: false,
+            entry_count: 0,
+            has_list: false,
         }
     }
 
     /// Whether the instance list was seen.
-    pub const fn is_informed(&self) -> bool {
-        self.listed
+    pub const fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// An instance.
@@ -78,14 +78,14 @@
     }
 
     /// All instances of a role.
-    pub fn of_role(&self, role: InstanceRole) -> impl Iterator<Item = (&str, &InstanceSpec)> {
+    pub fn with_role(&self, role: InstanceRole) -> impl Iterator<Item = (&str, &InstanceSpec)> {
         let all = self.instances.iter().filter(move |(_, spec)| spec.role == role);
         all.map(|(name, spec)| (name.as_str(), spec))
     }
 
     /// Number of entries in the list.
-    pub const fn entries(&self) -> u32 {
-        self.entries
+    pub const fn entry_count(&self) -> u32 {
+        self.entry_count
     }
 
     /// The routers by service.
@@ -94,14 +94,14 @@
     }
 
     /// The whole instance list.
-    pub fn list(&mut self, instances: BTreeMap<String, InstanceSpec>) {
+    pub fn set_instances(&mut self, instances: BTreeMap<String, InstanceSpec>) {
         self.instances = instances;
-        self.listed = true;
+        self.has_list = true;
         self.rebuild();
     }
 
     /// One change of the instance list.
-    pub fn change(&mut self, name: &str, spec: Option<InstanceSpec>) {
+    pub fn update_instance(&mut self, name: &str, spec: Option<InstanceSpec>) {
         match spec {
             Some(spec) => self.instances.insert(name.to_owned(), spec),
             None => self.instances.remove(name),
@@ -110,18 +110,18 @@
     }
 
     /// Reports are asked for this often from now on.
-    pub fn set_interval(&mut self, interval: Duration) {
+    pub fn set_report_interval(&mut self, interval: Duration) {
         self.routers.values_mut().for_each(|router| router.set_report_interval(interval));
     }
 
     /// Servers that operators have drained.
-    pub fn drain(&mut self, drained: HashSet<String>) {
+    pub fn set_drained(&mut self, drained: HashSet<String>) {
         self.drained = drained;
         self.rebuild();
     }
 
     /// What waits at a server, on average over all that are heard of.
-    pub fn waits(&self, now: Uptime) -> Waits {
+    pub fn queue_stats(&self, now: Uptime) -> QueueStats {
         let loads: Vec<&Load> = self.routers.values().flat_map(|r| r.loads(now)).collect();
         let count = loads.len().max(1) as f64;
         let rate = |load: &Load| f64::from(load.rate.max(1));
@@ -129,31 +129,32 @@
         let rates: f64 = loads.iter().map(|load| rate(load)).sum();
         let backlog: f64 = loads.iter().map(|load| f64::from(load.backlog)).sum();
         let waiting: f64 = loads.iter().map(|load| f64::from(load.waiting)).sum();
-        let cost = if waiting > 0.0 { backlog / waiting } else { COST_GUESS };
-        let room = WAIT_MAX_S * rates / count / cost.max(1.0);
-        Waits { seconds: waits.sum::<f64>() / count, room }
+        let cost = if waiting > 0.0 { backlog / waiting } else { DEFAULT_COST };
+        let queue_slots = WAIT_MAX_S * rates / count / cost.max(1.0);
+        QueueStats { wait_s: waits.sum::<f64>() / count, queue_slots }
     }
 
     /// What the servers of a rank group last said of their ranks' lives. It
     /// changes when a rank was replaced.
-    pub fn lives(&self, group: &str) -> BTreeMap<String, u64> {
-        let of_group = |name: &str| {
+    pub fn rank_incarnations(&self, group: &str) -> BTreeMap<String, u64> {
+        let is_member = |name: &str| {
             let part = self.instances.get(name).and_then(|spec| spec.group.as_ref());
             part.is_some_and(|part| part.name == group)
         };
-        let known = self.routers.values().flat_map(Router::servers);
-        let own = known.filter(|known| of_group(&known.name));
-        own.filter_map(|known| {
-            Some((known.name.clone(), known.report.as_ref()?.0.rank_incarnations))
-        })
-        .collect()
+        let servers = self.routers.values().flat_map(Router::servers);
+        let members = servers.filter(|server| is_member(&server.name));
+        members
+            .filter_map(|server| {
+                Some((server.name.clone(), server.report.as_ref()?.0.rank_incarnations))
+            })
+            .collect()
     }
 
     /// An agent's report.
-    pub fn report(&mut self, server: &str, load: &Load, now: Uptime) {
+    pub fn record_report(&mut self, server: &str, load: &Load, now: Uptime) {
         for router in self.routers.values_mut() {
-            if let Some(place) = router.index_of(server) {
-                router.on_report(place, load, now);
+            if let Some(index) = router.index_of(server) {
+                router.on_report(index, load, now);
             }
         }
     }
@@ -165,33 +166,36 @@
         request: &Request<'_>,
         now: Uptime,
         rng: &mut impl Rng,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenServer> {
         let router = self.routers.get(service)?;
         let choice = router.choose(request, now, rng)?;
-        let known = &router.servers()[choice.index];
-        let fence = Fence { server: known.name.clone(), incarnation: known.incarnation()? };
-        let names = choice.candidates.iter().map(|seen| router.servers()[seen.index].name.clone());
-        Some(Chosen { fence, names: names.collect(), choice })
+        let server = &router.servers()[choice.index];
+        let fence = Fence { server: server.name.clone(), incarnation: server.incarnation()? };
+        let names = choice
+            .candidates
+            .iter()
+            .map(|candidate| router.servers()[candidate.index].name.clone());
+        Some(ChosenServer { fence, names: names.collect(), choice })
     }
 
     /// Chooses places for an operation that may not be repeated, void after
     /// `term`.
-    pub fn places(
+    pub fn choose_bindings(
         &self,
         service: &str,
         request: &Request<'_>,
-        term: Duration,
+        lifetime: Duration,
         now: Uptime,
         rng: &mut impl Rng,
-    ) -> (Vec<Binding>, Option<Chosen>) {
+    ) -> (Vec<Binding>, Option<ChosenServer>) {
         let mut tried = request.tried.to_vec();
         let mut bindings = Vec::new();
         let mut first = None;
-        while bindings.len() < PLACES {
+        while bindings.len() < BINDINGS_MAX {
             let request = Request { tried: &tried, ..*request };
             let Some(chosen) = self.choose(service, &request, now, rng) else { break };
             let server = chosen.fence.server.clone();
-            if let Some(expires) = self.expiry(service, &server, term, now) {
+            if let Some(expires) = self.expiry(service, &server, lifetime, now) {
                 bindings.push(Binding { fence: chosen.fence.clone(), expires });
             }
             tried.push(server);
@@ -201,57 +205,63 @@
     }
 
     /// A request was sent to a server.
-    pub fn sent(&mut self, service: &str, server: &str, cost: u32, now: Uptime) {
-        if let Some((router, place)) = self.place(service, server) {
-            router.on_sent(place, cost, now);
+    pub fn record_sent(&mut self, service: &str, server: &str, cost: u32, now: Uptime) {
+        if let Some((router, index)) = self.router_index(service, server) {
+            router.on_sent(index, cost, now);
         }
     }
 
     /// A request at a server has ended. True if that ejects the server.
-    pub fn ended(
+    pub fn record_ended(
         &mut self,
         service: &str,
         server: &str,
         signal: Option<Signal>,
         now: Uptime,
     ) -> bool {
-        let place = self.place(service, server);
-        place.is_some_and(|(router, place)| router.on_ended(place, signal, now))
+        let index = self.router_index(service, server);
+        index.is_some_and(|(router, index)| router.on_ended(index, signal, now))
     }
 
     /// Addresses of the servers that are routed to, each once.
-    pub fn watched(&self) -> Vec<SocketAddr> {
-        let known = self.routers.values().flat_map(|router| router.servers());
-        let names: HashSet<&str> = known.map(|known| known.name.as_str()).collect();
+    pub fn routed_addrs(&self) -> Vec<SocketAddr> {
+        let servers = self.routers.values().flat_map(|router| router.servers());
+        let names: HashSet<&str> = servers.map(|server| server.name.as_str()).collect();
         names.into_iter().filter_map(|name| Some(self.instances.get(name)?.udp)).collect()
     }
 
     /// That agent's clock in `term`, as far as is known.
-    fn expiry(&self, service: &str, server: &str, term: Duration, now: Uptime) -> Option<Uptime> {
+    fn expiry(
+        &self,
+        service: &str,
+        server: &str,
+        lifetime: Duration,
+        now: Uptime,
+    ) -> Option<Uptime> {
         let router = self.routers.get(service)?;
-        let known = &router.servers()[router.index_of(server)?];
-        let (load, at) = known.report.as_ref()?;
-        Some(load.uptime + now.since(*at) + term)
+        let server = &router.servers()[router.index_of(server)?];
+        let (load, at) = server.report.as_ref()?;
+        Some(load.uptime + now.since(*at) + lifetime)
     }
 
-    fn place(&mut self, service: &str, server: &str) -> Option<(&mut Router, usize)> {
+    fn router_index(&mut self, service: &str, server: &str) -> Option<(&mut Router, usize)> {
         let router = self.routers.get_mut(service)?;
-        let place = router.index_of(server)?;
-        Some((router, place))
+        let index = router.index_of(server)?;
+        Some((router, index))
     }
 
     /// Brings the routers in line with the instances; what is known stays.
     fn rebuild(&mut self) {
-        let entries = self.of_role(InstanceRole::Entry).count();
-        self.entries = u32::try_from(entries).unwrap_or(u32::MAX);
-        let mut wanted: HashMap<&str, Vec<&str>> = HashMap::new();
+        let entries = self.with_role(InstanceRole::Entry).count();
+        self.entry_count = u32::try_from(entries).unwrap_or(u32::MAX);
+        let mut by_service: HashMap<&str, Vec<&str>> = HashMap::new();
         for (name, spec) in &self.instances {
             for service in &spec.services {
-                wanted.entry(service).or_default().push(name);
+                by_service.entry(service).or_default().push(name);
             }
         }
-        self.routers.retain(|service, _| wanted.contains_key(service.as_str()));
-        for (service, names) in wanted {
+        self.routers.retain(|service, _| by_service.contains_key(service.as_str()));
+        for (service, names) in by_service {
             let router = self
                 .routers
                 .entry(service.to_owned())
@@ -259,15 +269,15 @@
             let mut servers: Vec<ServerView> = names
                 .iter()
                 .map(|name| match router.index_of(name) {
-                    Some(place) => router.servers()[place].clone(),
+                    Some(index) => router.servers()[index].clone(),
                     None => {
                         ServerView::new((*name).to_owned(), self.instances[*name].hall == self.hall)
                     }
                 })
                 .collect();
-            for known in &mut servers {
-                let listed = self.instances[&known.name].state == InstanceState::Leaving;
-                known.leaving = listed || self.drained.contains(&known.name);
+            for server in &mut servers {
+                let listed = self.instances[&server.name].state == InstanceState::Leaving;
+                server.leaving = listed || self.drained.contains(&server.name);
             }
             router.set_servers(servers);
         }
