--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -8,7 +8,7 @@
 };
 use crate::{
     net::http::{CallError, Exchange},
-    platform::headers::{self, Added, AnswerHead, Turn},
+    platform::headers::{self, AddedHeaders, AnswerHead, QueuePriority},
 };
 use http_body_util::Full;
 use hyper::{Request, StatusCode, body::Incoming, http::response::Parts};
@@ -101,12 +101,12 @@
         gateway.server_pool.give_back(exchange, None);
         return Err(AttemptResult::NotRun(Proof::NeverSent));
     }
-    let added = Added {
-        left: call.left(),
-        server: &place.server.id,
+    let added = AddedHeaders {
+        remaining: call.left(),
+        server_id: &place.server.id,
         customer: call.customer.as_deref(),
         last_event,
-        turn: turn(call, last_event),
+        priority: priority(call, last_event),
     };
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
@@ -168,11 +168,11 @@
 
 /// When a request goes at its server. One that was taken up has a caller who waits for its
 /// next event; one whose caller was refused before can't be in time any more.
-fn turn(call: &Call, last_event: Option<&str>) -> Turn {
+fn priority(call: &Call, last_event: Option<&str>) -> QueuePriority {
     match last_event {
-        Some(_) => Turn::First,
-        None if call.is_model() && call.returned => Turn::Last,
-        None => Turn::Usual,
+        Some(_) => QueuePriority::First,
+        None if call.is_model() && call.returned => QueuePriority::Last,
+        None => QueuePriority::Normal,
     }
 }
 
--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -1,7 +1,7 @@
 //! A request that was read, and what became of it so far.
 
 use super::state::{Active, Gateway};
-use crate::{platform::headers::CallHead, util::clock::Clock};
+use crate::{platform::headers::RequestHead, util::clock::Clock};
 use bytes::Bytes;
 use hyper::{
     HeaderMap, Method, Uri,
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct Call {
     /// What its head says.
-    pub head: CallHead,
+    pub head: RequestHead,
     /// Its headers.
     pub headers: HeaderMap,
     /// Its method.
--- a/src/mastweir/gateway/eras.rs
+++ b/src/mastweir/gateway/eras.rs
@@ -6,9 +6,9 @@
 /// Says each time that the store came back from an older copy, and calls `changed`, for ever.
 pub async fn follow(store: Store, log: Logger, changed: impl Fn()) {
     loop {
-        let before = store.era();
-        store.later_era(before).await;
-        let now = store.era();
+        let before = store.generation();
+        store.later_generation(before).await;
+        let now = store.generation();
         // Nothing was known before the first answer that names one.
         if before == 0 {
             info!(log, "store era known"; "now" => now);
--- a/src/mastweir/gateway/final_answer.rs
+++ b/src/mastweir/gateway/final_answer.rs
@@ -112,7 +112,7 @@
 fn own(id: &str, status: StatusCode, retry_after: Option<Duration>) -> Reply {
     let mut reply = Response::new(Either::Left(Full::default()));
     *reply.status_mut() = status;
-    *reply.headers_mut() = headers::own_answer(id, retry_after);
+    *reply.headers_mut() = headers::gateway_answer(id, retry_after);
     reply
 }
 
--- a/src/mastweir/gateway/follow.rs
+++ b/src/mastweir/gateway/follow.rs
@@ -193,7 +193,7 @@
                         time::sleep(GATHER).await;
                     }
                 }
-                Ended::Watch(Err(StoreError::HistoryGone | StoreError::EraChanged)) => break,
+                Ended::Watch(Err(StoreError::HistoryGone | StoreError::GenerationChanged)) => break,
                 Ended::Watch(Err(error)) => {
                     link.down(&asked, &error).await;
                     break;
@@ -226,7 +226,7 @@
         }
         () = outages.notified() => Ended::Doubt(WatchFailure::Outage),
         // The revision it waits from may mean another change by now.
-        () = source.later_era(since) => Ended::Watch(Err(StoreError::EraChanged)),
+        () = source.later_era(since) => Ended::Watch(Err(StoreError::GenerationChanged)),
     }
 }
 
@@ -238,8 +238,10 @@
         let asked = Asked::now("probe", since);
         let probe = match source.probe(since).await {
             // What a lagging replica says of an earlier era tells nothing of this one.
-            Ok(false) | Err(StoreError::OldEra { .. }) => ProbeResult::Unchanged,
-            Ok(true) | Err(StoreError::HistoryGone | StoreError::EraChanged) => ProbeResult::Newer,
+            Ok(false) | Err(StoreError::StaleGeneration { .. }) => ProbeResult::Unchanged,
+            Ok(true) | Err(StoreError::HistoryGone | StoreError::GenerationChanged) => {
+                ProbeResult::Newer
+            }
             Err(error) => {
                 link.tally.count("store_probes_missed_total", S::KIND);
                 link.lost(&asked, &error);
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -84,7 +84,7 @@
 async fn admit(gateway: &Rc<Gateway>, request: Request<Incoming>) -> Result<Call, Reply> {
     let arrived = gateway.clock.now();
     let (parts, body) = request.into_parts();
-    let head = headers::read_call(&parts.headers);
+    let head = headers::read_request(&parts.headers);
     let Some(active) = gateway.active() else {
         return Err(refuse(gateway, &head.id, StatusCode::SERVICE_UNAVAILABLE, "no_config"));
     };
@@ -104,10 +104,10 @@
     let Some(service) = pick_target(gateway, route) else {
         return Err(refuse(gateway, &head.id, StatusCode::SERVICE_UNAVAILABLE, "no_target"));
     };
-    let wait = head.wait.unwrap_or(WAIT_USUAL).min(Duration::from_millis(route.timeout_ms));
+    let wait = head.timeout.unwrap_or(WAIT_USUAL).min(Duration::from_millis(route.timeout_ms));
     let deadline = arrived + wait.min(WAIT_MAX);
     let returned = head
-        .wait
+        .timeout
         .is_some_and(|wait| gateway.retry_detector.borrow_mut().is_retry(&route.name, wait));
     let limit = active.config.limits.body_bytes;
     let body = gateway.clock.timeout_at(deadline, Limited::new(body, limit).collect()).await;
@@ -294,7 +294,7 @@
         }
         return Err(AttemptResult::Broken);
     };
-    gateway.server_pool.give_back(exchange, head.keep);
+    gateway.server_pool.give_back(exchange, head.keep_alive);
     let status = parts.status;
     let failed = status.is_server_error();
     if failed {
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -6,7 +6,7 @@
 //! Until it has, or had time for it, it does not call itself ready.
 
 use super::{state::Gateway, unread::Noted};
-use crate::platform::{objects::Listed, quarantine::StoredQuarantine, store::StoreError};
+use crate::platform::{objects::ObjectList, quarantine::StoredQuarantine, store::StoreError};
 use mastweir_core::gateway::{Fingerprint, QUARANTINE_DURATION, SuspectReport};
 use rand::Rng;
 use slog::{info, warn};
@@ -75,8 +75,8 @@
     let noted = Noted::default();
     let mut pause = RETRY_FIRST;
     loop {
-        let era = gateway.store.era();
-        match gateway.store.quarantined().await {
+        let era = gateway.store.generation();
+        match gateway.store.quarantines().await {
             Ok(listed) => {
                 let stored = take(gateway, listed, &noted).await;
                 write_lost(gateway, &stored).await;
@@ -90,7 +90,7 @@
         }
         tokio::select! {
             () = time::sleep(pause) => (),
-            () = gateway.store.later_era(era) => {
+            () = gateway.store.later_generation(era) => {
                 // One of those who watch comes first, and the others find what it wrote.
                 let spread = gateway.rng.borrow_mut().random_range(Duration::ZERO..SPREAD);
                 time::sleep(spread).await;
@@ -111,24 +111,24 @@
 /// Takes in what lies in the store; gives the requests that it names.
 async fn take(
     gateway: &Rc<Gateway>,
-    listed: Listed<StoredQuarantine>,
+    listed: ObjectList<StoredQuarantine>,
     noted: &Noted,
 ) -> Vec<Fingerprint> {
-    listed.unread.iter().for_each(|unread| noted.note(gateway, "quarantine", unread));
+    listed.unreadable.iter().for_each(|unread| noted.note(gateway, "quarantine", unread));
     let (lapsed, young): (Vec<StoredQuarantine>, Vec<StoredQuarantine>) =
-        listed.items.into_iter().partition(|stored| stored.suspected.is_expired());
+        listed.items.into_iter().partition(|stored| stored.report.is_expired());
     if !young.is_empty() {
         info!(gateway.log, "quarantine read"; "requests" => young.len(), "lapsed" => lapsed.len(),
             "revision" => %listed.revision);
     }
-    let suspected: Vec<SuspectReport> = young.into_iter().map(|stored| stored.suspected).collect();
+    let suspected: Vec<SuspectReport> = young.into_iter().map(|stored| stored.report).collect();
     told(gateway, &suspected, STORE);
     gateway.has_quarantines.set(true);
     let requests = suspected.iter().map(|suspected| suspected.request).collect();
     for stored in lapsed {
         // One that another gateway has cleared or written again is none of ours.
-        if let Err(error) = gateway.store.drop_quarantine(&stored).await {
-            let request = stored.suspected.request;
+        if let Err(error) = gateway.store.delete_quarantine(&stored).await {
+            let request = stored.report.request;
             info!(gateway.log, "lapsed quarantine not cleared"; "fingerprint" => %request,
                 "error" => %error);
         }
--- a/src/mastweir/gateway/server_notices.rs
+++ b/src/mastweir/gateway/server_notices.rs
@@ -5,7 +5,7 @@
 //! its own request is read in `attempt`.
 
 use super::{call::Call, state::Gateway};
-use crate::platform::headers::{AnswerHead, NamedLimit};
+use crate::platform::headers::{AnswerHead, LimitHeader};
 use hyper::StatusCode;
 use mastweir_core::{
     gateway::{Candidate, LimitChange, LimitReport},
@@ -52,10 +52,10 @@
 fn note_limit(gateway: &Gateway, server: &Candidate, heard: Heard<'_>) {
     let Candidate { id, incarnation: born, .. } = server;
     let rate = match heard.head.limit {
-        NamedLimit::Nothing => None,
-        NamedLimit::At(rate) => Some(rate),
+        LimitHeader::Absent => None,
+        LimitHeader::Valid(rate) => Some(rate),
         // It is neither a limit nor the end of one.
-        NamedLimit::Unreadable => {
+        LimitHeader::Malformed => {
             gateway.metrics.count("server_limits_total", "unread");
             if gateway.invalid_limits.is_first(id) {
                 warn!(gateway.log, "server limit not read"; "server" => id,
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -109,7 +109,7 @@
 }
 
 fn source(got: Got) -> Source {
-    Source { body: got.body, exchange: got.exchange, place: got.place, keep: got.head.keep }
+    Source { body: got.body, exchange: got.exchange, place: got.place, keep: got.head.keep_alive }
 }
 
 impl Relay {
--- a/src/mastweir/gateway/unread.rs
+++ b/src/mastweir/gateway/unread.rs
@@ -1,7 +1,7 @@
 //! Objects that could not be read: each is told once a revision.
 
 use super::state::Gateway;
-use crate::platform::objects::Unread;
+use crate::platform::objects::UnreadableObject;
 use mastweir_core::revision::Revision;
 use slog::warn;
 use std::{cell::RefCell, collections::HashMap};
@@ -16,9 +16,9 @@
 
 impl Noted {
     /// Counts one, and says so unless that revision of it was told.
-    pub fn note(&self, gateway: &Gateway, kind: &'static str, unread: &Unread) {
+    pub fn note(&self, gateway: &Gateway, kind: &'static str, unread: &UnreadableObject) {
         gateway.metrics.count("objects_unread_total", kind);
-        let Unread { name, revision, reason } = unread;
+        let UnreadableObject { name, revision, reason } = unread;
         let mut told = self.0.borrow_mut();
         let is_known = told.get(name).is_some_and(|known| known == revision);
         if is_known || (told.len() >= NOTED_MAX && !told.contains_key(name)) {
--- a/src/mastweir/gateway/watch.rs
+++ b/src/mastweir/gateway/watch.rs
@@ -8,7 +8,7 @@
     unread::Noted,
 };
 use crate::platform::{
-    objects::{Change, Changes, Listed},
+    objects::{Change, Changes, ObjectList},
     store::StoreError,
 };
 use mastweir_core::{
@@ -71,8 +71,8 @@
     const KIND: &'static str = "config";
 
     async fn list(&self, _away: Duration) -> Result<Revision, StoreError> {
-        let Listed { items, unread, revision } = self.gateway.store.config().await?;
-        unread.iter().for_each(|unread| self.noted.note(self.gateway, Self::KIND, unread));
+        let ObjectList { items, unreadable, revision } = self.gateway.store.config().await?;
+        unreadable.iter().for_each(|unread| self.noted.note(self.gateway, Self::KIND, unread));
         let configs = items.into_iter().flatten();
         configs.for_each(|config| self.gateway.adopt_config(config, "store"));
         Ok(revision)
@@ -89,9 +89,9 @@
     fn take(&self, changes: Changes<Option<Config>>, _away: Duration) {
         for change in changes.changes {
             match change {
-                Change::Is(Some(config)) => self.gateway.adopt_config(config, "store"),
-                Change::Is(None) | Change::Gone(_) => (),
-                Change::Unread(unread) => self.noted.note(self.gateway, Self::KIND, &unread),
+                Change::Updated(Some(config)) => self.gateway.adopt_config(config, "store"),
+                Change::Updated(None) | Change::Deleted(_) => (),
+                Change::Unreadable(unread) => self.noted.note(self.gateway, Self::KIND, &unread),
             }
         }
     }
@@ -101,7 +101,7 @@
     }
 
     async fn later_era(&self, since: Revision) {
-        self.gateway.store.later_era(since.generation).await;
+        self.gateway.store.later_generation(since.generation).await;
     }
 }
 
@@ -127,8 +127,8 @@
     const KIND: &'static str = "servers";
 
     async fn list(&self, away: Duration) -> Result<Revision, StoreError> {
-        let Listed { items, unread, revision } = self.gateway.store.servers().await?;
-        unread.iter().for_each(|unread| self.noted.note(self.gateway, Self::KIND, unread));
+        let ObjectList { items, unreadable, revision } = self.gateway.store.servers().await?;
+        unreadable.iter().for_each(|unread| self.noted.note(self.gateway, Self::KIND, unread));
         let servers = items.into_iter().map(|server| (server.id.clone(), server)).collect();
         let directory = Directory { revision, servers, ..Directory::default() };
         *self.listed.borrow_mut() = directory.clone();
@@ -149,13 +149,13 @@
         let mut went = Vec::new();
         for change in changes.changes {
             match change {
-                Change::Is(server) => listed.servers.insert(server.id.clone(), server),
-                Change::Gone(id) => {
+                Change::Updated(server) => listed.servers.insert(server.id.clone(), server),
+                Change::Deleted(id) => {
                     let known = listed.servers.remove(&id);
                     went.push(id);
                     known
                 }
-                Change::Unread(unread) => {
+                Change::Unreadable(unread) => {
                     self.noted.note(self.gateway, Self::KIND, &unread);
                     listed.servers.remove(&unread.name)
                 }
@@ -169,6 +169,6 @@
     }
 
     async fn later_era(&self, since: Revision) {
-        self.gateway.store.later_era(since.generation).await;
+        self.gateway.store.later_generation(since.generation).await;
     }
 }
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -1,6 +1,6 @@
 //! Calls to a model server: its state, what its requests chose, and orders.
 
-use super::headers::{self, AnswerHead, NamedLimit};
+use super::headers::{self, AnswerHead, LimitHeader};
 use crate::net::http::{CallError, Called, Pool};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -16,10 +16,10 @@
 use std::{fmt, net::SocketAddr, rc::Rc, time::Duration};
 
 /// A read on the server's own machine takes a millisecond.
-const CALL_LASTS: Duration = Duration::from_millis(400);
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 /// So does an order, and some milliseconds from another hall. One that gets no
 /// answer is given again, and meanwhile its group may stand.
-const ORDER_LASTS: Duration = Duration::from_millis(40);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 /// A report is small; counts and maps of 12 sets of 128 experts are some 20 KB.
 const ANSWER_BYTES_MAX: usize = 1 << 20;
 
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct FileReport {
+struct ReportBody {
     /// Names the server's life; no time to reckon with.
     born: Option<u64>,
     #[serde(default)]
@@ -61,9 +61,9 @@
     #[serde(default)]
     kv_total: u64,
     /// Time that it takes over what is usual: above 1 it is slow.
-    #[serde(default = "usual_pace")]
+    #[serde(default = "default_pace")]
     pace: f64,
-    group: Option<Group>,
+    group: Option<GroupBody>,
     #[serde(default)]
     size: u32,
     #[serde(default)]
@@ -78,12 +78,12 @@
     held: Value,
 }
 
-const fn usual_pace() -> f64 {
+const fn default_pace() -> f64 {
     1.0
 }
 
 #[derive(Debug, Deserialize)]
-struct Group {
+struct GroupBody {
     name: String,
     epoch: u64,
     rank: u32,
@@ -91,31 +91,31 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Counts {
+struct CountsBody {
     born: Option<u64>,
     #[serde(default)]
     step: u64,
     #[serde(default)]
     epoch: u64,
-    counts: Flat,
+    counts: FlatNumbers,
 }
 
 /// Numbers in lists within lists, one behind the other: read straight into one list, since
 /// 3,072 of them ten times a second took most of a sidecar's time as values of their own.
 #[derive(Debug, Default)]
-struct Flat(Vec<u64>);
+struct FlatNumbers(Vec<u64>);
 
-impl<'de> Deserialize<'de> for Flat {
+impl<'de> Deserialize<'de> for FlatNumbers {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let mut flat = Self::default();
-        FlatInto(&mut flat.0).deserialize(from)?;
+        FlatNumbersSeed(&mut flat.0).deserialize(from)?;
         Ok(flat)
     }
 }
 
-struct FlatInto<'a>(&'a mut Vec<u64>);
+struct FlatNumbersSeed<'a>(&'a mut Vec<u64>);
 
-impl<'de> DeserializeSeed<'de> for FlatInto<'_> {
+impl<'de> DeserializeSeed<'de> for FlatNumbersSeed<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<(), D::Error> {
@@ -123,7 +123,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for FlatInto<'_> {
+impl<'de> Visitor<'de> for FlatNumbersSeed<'_> {
     type Value = ();
 
     fn expecting(&self, into: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -136,18 +136,18 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<(), A::Error> {
-        while items.next_element_seed(FlatInto(self.0))?.is_some() {}
+        while items.next_element_seed(FlatNumbersSeed(self.0))?.is_some() {}
         Ok(())
     }
 }
 
 #[derive(Debug, Deserialize)]
-struct Lists {
-    map: VersionedLists,
+struct ListsBody {
+    map: MapBody,
 }
 
 #[derive(Debug, Deserialize)]
-struct VersionedLists {
+struct MapBody {
     version: u64,
     experts: RankExperts,
 }
@@ -156,7 +156,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
     /// Its life; zero if it does not say.
-    pub born: u64,
+    pub incarnation: u64,
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -164,7 +164,7 @@
     /// Memory in use, in thousandths.
     pub memory_milli: u32,
     /// Time that it takes for the same work over what is usual, in thousandths.
-    pub pace_milli: u32,
+    pub slowdown_milli: u32,
     /// Name of its group.
     pub group: Option<String>,
     /// Its rank's state.
@@ -172,30 +172,30 @@
     /// Whether it says that it leaves.
     pub leaving: bool,
     /// The limit that it names.
-    pub limit: NamedLimit,
+    pub limit: LimitHeader,
 }
 
 /// What requests chose, since the server's start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choices {
+pub struct Selections {
     /// The server's life; zero if it does not say.
-    pub born: u64,
+    pub incarnation: u64,
     /// The group's epoch.
     pub epoch: u64,
     /// The last pass begun.
     pub pass: u64,
-    /// Choices by set and expert, one set behind the other.
+    /// Selections by set and expert, one set behind the other.
     pub counts: Vec<u64>,
 }
 
 /// A model server.
 #[derive(Clone, Debug)]
-pub struct Engine {
+pub struct EngineClient {
     addr: SocketAddr,
     pool: Rc<Pool>,
 }
 
-impl Engine {
+impl EngineClient {
     /// The server at an address.
     pub fn new(addr: SocketAddr, pool: Rc<Pool>) -> Self {
         Self { addr, pool }
@@ -213,8 +213,8 @@
     /// See [`EngineError`].
     pub async fn state(&self) -> Result<EngineState, EngineError> {
         let Called { headers, body, .. } = self.get("/report").await?;
-        let report: FileReport = serde_json::from_slice(&body)?;
-        Ok(state(report, &headers::read_answer(StatusCode::OK, &headers)))
+        let report: ReportBody = serde_json::from_slice(&body)?;
+        Ok(engine_state(report, &headers::read_answer(StatusCode::OK, &headers)))
     }
 
     /// What its requests chose.
@@ -222,12 +222,12 @@
     /// # Errors
     ///
     /// See [`EngineError`].
-    pub async fn choices(&self) -> Result<Choices, EngineError> {
+    pub async fn selections(&self) -> Result<Selections, EngineError> {
         let Called { body, .. } = self.get("/picked").await?;
-        let read: Counts = serde_json::from_slice(&body)?;
-        let Counts { born, step, epoch, counts } = read;
-        let born = born.unwrap_or_default();
-        Ok(Choices { born, epoch, pass: step, counts: counts.0 })
+        let read: CountsBody = serde_json::from_slice(&body)?;
+        let CountsBody { born, step, epoch, counts } = read;
+        let incarnation = born.unwrap_or_default();
+        Ok(Selections { incarnation, epoch, pass: step, counts: counts.0 })
     }
 
     /// The map in force at its rank: version, and experts by set.
@@ -237,7 +237,7 @@
     /// See [`EngineError`].
     pub async fn map(&self) -> Result<(u64, RankExperts), EngineError> {
         let Called { body, .. } = self.get("/picked?lists=1").await?;
-        let lists: Lists = serde_json::from_slice(&body)?;
+        let lists: ListsBody = serde_json::from_slice(&body)?;
         Ok((lists.map.version, lists.map.experts))
     }
 
@@ -247,8 +247,8 @@
     ///
     /// No answer: the order may be carried out, now or seconds later.
     pub async fn order(&self, order: &Order) -> Result<OrderOutcome, EngineError> {
-        let bytes = serde_json::to_vec(&body(order))?;
-        let status = self.call(Method::POST, "/order", bytes, ORDER_LASTS).await?.status;
+        let bytes = serde_json::to_vec(&order_body(order))?;
+        let status = self.call(Method::POST, "/order", bytes, ORDER_TIMEOUT).await?.status;
         Ok(match status {
             200 | 202 => OrderOutcome::Accepted,
             409 => OrderOutcome::Conflict,
@@ -258,7 +258,7 @@
     }
 
     async fn get(&self, path: &str) -> Result<Called, EngineError> {
-        let called = self.call(Method::GET, path, Vec::new(), CALL_LASTS).await?;
+        let called = self.call(Method::GET, path, Vec::new(), CALL_TIMEOUT).await?;
         let status = called.status;
         if status == 200 { Ok(called) } else { Err(EngineError::Refused { status }) }
     }
@@ -283,7 +283,7 @@
 
 /// An order as the pages have it.
 #[derive(Debug, Serialize)]
-struct FileOrder<'a> {
+struct OrderBody<'a> {
     op: &'static str,
     fencing_token: u64,
     /// The number of orders that the rank has taken.
@@ -297,7 +297,7 @@
     map: Option<&'a GroupMap>,
 }
 
-fn body(order: &Order) -> FileOrder<'_> {
+fn order_body(order: &Order) -> OrderBody<'_> {
     let (op, version, step, map) = match &order.kind {
         OrderKind::Load { version, map } => ("prepare", Some(*version), None, Some(&**map)),
         OrderKind::Schedule { version, pass } => ("arm", Some(*version), Some(*pass), None),
@@ -305,7 +305,7 @@
         OrderKind::Pause { pass } => ("hold", None, Some(*pass), None),
         OrderKind::Resume { pass } => ("go", None, Some(*pass), None),
     };
-    FileOrder {
+    OrderBody {
         op,
         fencing_token: order.token,
         expected_rev: order.order_seq,
@@ -316,7 +316,7 @@
     }
 }
 
-fn state(report: FileReport, head: &AnswerHead) -> EngineState {
+fn engine_state(report: ReportBody, head: &AnswerHead) -> EngineState {
     let memory = report.kv_used.saturating_mul(1_000).checked_div(report.kv_total).unwrap_or(0);
     let size = report.size;
     let group = report.group.as_ref().filter(|group| group.rank < size && size <= RANKS_MAX);
@@ -334,11 +334,11 @@
         paused: number(&report.held, "step"),
     });
     EngineState {
-        born: report.born.unwrap_or_default(),
+        incarnation: report.born.unwrap_or_default(),
         running: report.running,
         waiting: report.queued,
         memory_milli: u32::try_from(memory).unwrap_or(u32::MAX),
-        pace_milli: (report.pace * 1_000.0) as u32,
+        slowdown_milli: (report.pace * 1_000.0) as u32,
         group: report.group.map(|group| group.name),
         rank,
         leaving: head.leaving,
--- a/src/mastweir/platform/headers.rs
+++ b/src/mastweir/platform/headers.rs
@@ -25,7 +25,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const SIGNATURE: HeaderName = HeaderName::from_static("response-signature");
 /// In all answers of the store; rises when it comes back from an older copy.
-const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
+const STORE_GENERATION: HeaderName = HeaderName::from_static("store-era");
 /// Tokens of the prompt, and the most tokens of the answer.
 const TOKENS: HeaderName = HeaderName::from_static("token-usage");
 
@@ -64,11 +64,11 @@
 
 /// What a request's head says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// Id of this attempt of the caller.
     pub id: String,
     /// Time that the caller waits.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Key of a customer.
     pub key: Option<String>,
     /// Last event that the caller has of a stream.
@@ -80,13 +80,13 @@
 }
 
 /// Reads a request's head.
-pub fn read_call(headers: &HeaderMap) -> CallHead {
+pub fn read_request(headers: &HeaderMap) -> RequestHead {
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let tokens = text(&TOKENS).and_then(|text| text.split_once(','));
     let number = |text: &str| text.trim().parse().unwrap_or_default();
-    CallHead {
+    RequestHead {
         id: text(&REQUEST_ID).unwrap_or_default().to_owned(),
-        wait: text(&DEADLINE).and_then(|ms| ms.parse().ok()).map(Duration::from_millis),
+        timeout: text(&DEADLINE).and_then(|ms| ms.parse().ok()).map(Duration::from_millis),
         key: text(&header::AUTHORIZATION)
             .and_then(|value| value.strip_prefix(KEY_SCHEME))
             .map(|key| key.trim().to_owned()),
@@ -98,50 +98,50 @@
 
 /// What a gateway adds to a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Added<'a> {
+pub struct AddedHeaders<'a> {
     /// Time that is left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The life of the server that is meant.
-    pub server: &'a str,
+    pub server_id: &'a str,
     /// The customer whose key it carried.
     pub customer: Option<&'a str>,
     /// Last event that the caller has of a stream.
     pub last_event: Option<&'a str>,
     /// When it goes, where requests wait at the server.
-    pub turn: Turn,
+    pub priority: QueuePriority,
 }
 
 /// When a request goes, where others wait at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum QueuePriority {
     /// Before all others.
     First,
     /// As they come.
-    Usual,
+    Normal,
     /// Behind the others.
     Last,
 }
 
-impl Turn {
+impl QueuePriority {
     /// 0 goes first; without it a request counts as 5.
     const fn priority(self) -> Option<&'static str> {
         match self {
             Self::First => Some("1"),
-            Self::Usual => None,
+            Self::Normal => None,
             Self::Last => Some("7"),
         }
     }
 }
 
 /// Headers for a server: the caller's, and what the gateway adds.
-pub fn for_server(caller: &HeaderMap, added: Added<'_>) -> HeaderMap {
+pub fn for_server(caller: &HeaderMap, added: AddedHeaders<'_>) -> HeaderMap {
     let mut headers = forwarded(caller, &NOT_FORWARDED);
-    let left = u64::try_from(added.left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(DEADLINE, left.into());
-    set(&mut headers, EXPECT_SERVER, Some(added.server));
+    let remaining = u64::try_from(added.remaining.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(DEADLINE, remaining.into());
+    set(&mut headers, EXPECT_SERVER, Some(added.server_id));
     set(&mut headers, CUSTOMER, added.customer);
     set(&mut headers, LAST_EVENT, added.last_event);
-    set(&mut headers, PRIORITY, added.turn.priority());
+    set(&mut headers, PRIORITY, added.priority.priority());
     headers
 }
 
@@ -185,33 +185,33 @@
     /// Requests that run and that wait there.
     pub load: Option<(u32, u32)>,
     /// How long the server keeps the connection; zero if it closes it.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Whether the server says that it leaves.
     pub leaving: bool,
     /// How long the server, which turned the request away, wants no others of this process.
     pub retry_after: Option<Duration>,
     /// The limit that the server names.
-    pub limit: NamedLimit,
+    pub limit: LimitHeader,
 }
 
 /// What an answer says of its server's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NamedLimit {
+pub enum LimitHeader {
     /// It names none.
     #[default]
-    Nothing,
+    Absent,
     /// So much.
-    At(Rate),
+    Valid(Rate),
     /// Something that is no rate, or several.
-    Unreadable,
+    Malformed,
 }
 
-impl NamedLimit {
+impl LimitHeader {
     /// The limit, if there is one.
     pub const fn rate(self) -> Option<Rate> {
         match self {
-            Self::At(rate) => Some(rate),
-            Self::Nothing | Self::Unreadable => None,
+            Self::Valid(rate) => Some(rate),
+            Self::Absent | Self::Malformed => None,
         }
     }
 }
@@ -220,24 +220,24 @@
 pub fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerHead {
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text(&header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close"));
-    let keep = text(&KEEP_ALIVE).and_then(timeout).map(Duration::from_secs);
+    let keep_alive = text(&KEEP_ALIVE).and_then(timeout).map(Duration::from_secs);
     AnswerHead {
         id: text(&REQUEST_ID).unwrap_or_default().to_owned(),
         not_run: headers.contains_key(NOT_RUN),
         signed: headers.contains_key(SIGNATURE),
         load: text(&LOAD).and_then(load),
-        keep: if closes { Some(Duration::ZERO) } else { keep },
+        keep_alive: if closes { Some(Duration::ZERO) } else { keep_alive },
         leaving: text(&LEAVING).is_some_and(|value| value.trim() == "1"),
         retry_after: http::backs_off(status, headers),
         limit: limit(headers),
     }
 }
 
-fn limit(headers: &HeaderMap) -> NamedLimit {
+fn limit(headers: &HeaderMap) -> LimitHeader {
     let mut values = headers.get_all(LIMIT).iter();
-    let Some(value) = values.next() else { return NamedLimit::Nothing };
+    let Some(value) = values.next() else { return LimitHeader::Absent };
     let rate = value.to_str().ok().and_then(|text| Rate::per_second(text.trim().parse().ok()?));
-    rate.filter(|_| values.next().is_none()).map_or(NamedLimit::Unreadable, NamedLimit::At)
+    rate.filter(|_| values.next().is_none()).map_or(LimitHeader::Malformed, LimitHeader::Valid)
 }
 
 fn timeout(value: &str) -> Option<u64> {
@@ -251,12 +251,12 @@
 }
 
 /// Reads the era of the store from an answer of it.
-pub fn read_era(headers: &HeaderMap) -> Option<u64> {
-    headers.get(STORE_ERA)?.to_str().ok()?.trim().parse().ok()
+pub fn read_generation(headers: &HeaderMap) -> Option<u64> {
+    headers.get(STORE_GENERATION)?.to_str().ok()?.trim().parse().ok()
 }
 
 /// Headers of an answer of the gateway's own.
-pub fn own_answer(id: &str, retry_after: Option<Duration>) -> HeaderMap {
+pub fn gateway_answer(id: &str, retry_after: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     set(&mut headers, REQUEST_ID, Some(id));
     let seconds = retry_after.map(|wait| format!("{:.3}", wait.as_secs_f64()));
--- a/src/mastweir/platform/lease.rs
+++ b/src/mastweir/platform/lease.rs
@@ -5,8 +5,8 @@
 //! names.
 
 use super::{
-    objects::{self, Read, Unread},
-    store::{CALL_LASTS, Store, StoreError},
+    objects::{self, ReadSpec, UnreadableObject},
+    store::{CALL_TIMEOUT, Store, StoreError},
 };
 use hyper::Method;
 use mastweir_core::{revision::Revision, switch::first_epoch};
@@ -16,7 +16,7 @@
 /// Kind of our own for leases.
 const KIND: &str = "mastweir-leases";
 /// Reads of a lease while the era changes under them.
-const READS: u32 = 3;
+const READ_ATTEMPTS: u32 = 3;
 
 /// A lease, as it lies in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,9 +31,9 @@
 
 /// A group's lease, as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReadLease {
+pub struct LeaseSnapshot {
     /// The era it is of.
-    pub era: u64,
+    pub generation: u64,
     /// What lies there; none if it was never taken in that era.
     pub stored: Option<StoredLease>,
 }
@@ -58,29 +58,29 @@
     /// # Errors
     ///
     /// See [`StoreError`].
-    pub async fn lease(&self, name: &str) -> Result<ReadLease, StoreError> {
-        for _ in 0..READS {
-            let era = self.era();
-            let path = format!("/objects/{KIND}/{}", lease_name(name, era));
-            let answer = self.call(Method::GET, &path, None, CALL_LASTS).await;
-            if self.era() != era {
+    pub async fn lease(&self, name: &str) -> Result<LeaseSnapshot, StoreError> {
+        for _ in 0..READ_ATTEMPTS {
+            let generation = self.generation();
+            let path = format!("/objects/{KIND}/{}", lease_name(name, generation));
+            let answer = self.call(Method::GET, &path, None, CALL_TIMEOUT).await;
+            if self.generation() != generation {
                 continue;
             }
             let body = match answer {
                 Err(StoreError::Refused { status: 404 }) => {
-                    return Ok(ReadLease { era, stored: None });
+                    return Ok(LeaseSnapshot { generation, stored: None });
                 }
                 other => other?.body,
             };
-            let lease = objects::read_one(&body, era, read_lease)?;
-            let stored = lease.unwrap_or_else(|Unread { revision, .. }| StoredLease {
-                epoch: first_epoch(era) + revision.number,
+            let lease = objects::read_one(&body, generation, read_lease)?;
+            let stored = lease.unwrap_or_else(|UnreadableObject { revision, .. }| StoredLease {
+                epoch: first_epoch(generation) + revision.number,
                 holder: String::new(),
                 revision,
             });
-            return Ok(ReadLease { era, stored: Some(stored) });
+            return Ok(LeaseSnapshot { generation, stored: Some(stored) });
         }
-        Err(StoreError::EraChanged)
+        Err(StoreError::GenerationChanged)
     }
 
     /// Takes a lease over, under the condition that it is as it was read, in the era in which
@@ -94,11 +94,11 @@
         name: &str,
         epoch: u64,
         holder: &str,
-        was: &ReadLease,
+        previous: &LeaseSnapshot,
     ) -> Result<(), StoreError> {
-        let name = lease_name(name, was.era);
+        let name = lease_name(name, previous.generation);
         let spec = LeaseSpec { epoch, holder: holder.to_owned() };
-        let (method, path, metadata) = match &was.stored {
+        let (method, path, metadata) = match &previous.stored {
             None => (Method::POST, format!("/objects/{KIND}"), json!({ "name": name })),
             Some(stored) => {
                 let metadata = json!({ "name": name, "revision": stored.revision.number });
@@ -106,8 +106,12 @@
             }
         };
         let body = json!({ "metadata": metadata, "spec": spec });
-        let answered = self.call(method, &path, Some(&body), CALL_LASTS).await?;
-        if answered.era == was.era { Ok(()) } else { Err(StoreError::EraChanged) }
+        let answered = self.call(method, &path, Some(&body), CALL_TIMEOUT).await?;
+        if answered.generation == previous.generation {
+            Ok(())
+        } else {
+            Err(StoreError::GenerationChanged)
+        }
     }
 
     /// Deletes a lease's objects of earlier eras: nobody reads them any more.
@@ -115,25 +119,26 @@
     /// # Errors
     ///
     /// See [`StoreError`].
-    pub async fn drop_older_leases(&self, name: &str, era: u64) -> Result<(), StoreError> {
-        let any: Read<String> = |name, _, _| Ok(name.to_owned());
+    pub async fn delete_older_leases(&self, name: &str, generation: u64) -> Result<(), StoreError> {
+        let any: ReadSpec<String> = |name, _, _| Ok(name.to_owned());
         let listed = self.list(KIND, any).await?;
-        let is_older = |other: &&String| lease_era(name, other).is_some_and(|other| other < era);
+        let is_older =
+            |other: &&String| lease_generation(name, other).is_some_and(|other| other < generation);
         for older in listed.items.iter().filter(is_older) {
             let path = format!("/objects/{KIND}/{older}");
-            self.call(Method::DELETE, &path, None, CALL_LASTS).await?;
+            self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await?;
         }
         Ok(())
     }
 }
 
 /// Name of the object of a lease in an era.
-fn lease_name(name: &str, era: u64) -> String {
-    if era == 0 { name.to_owned() } else { format!("{name}.{era}") }
+fn lease_name(name: &str, generation: u64) -> String {
+    if generation == 0 { name.to_owned() } else { format!("{name}.{generation}") }
 }
 
 /// The era of a lease's object, if it is one of that lease.
-fn lease_era(name: &str, object: &str) -> Option<u64> {
+fn lease_generation(name: &str, object: &str) -> Option<u64> {
     let rest = object.strip_prefix(name)?;
     if rest.is_empty() { Some(0) } else { rest.strip_prefix('.')?.parse().ok() }
 }
--- a/src/mastweir/platform/quarantine.rs
+++ b/src/mastweir/platform/quarantine.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredQuarantine {
     /// What is known of it, and how old that is.
-    pub suspected: SuspectReport,
+    pub report: SuspectReport,
     /// Revision of the object, for a conditional delete.
     pub revision: Revision,
 }
@@ -41,10 +41,10 @@
 /// # Errors
 ///
 /// It can't be written as JSON.
-pub fn body(suspected: &SuspectReport) -> serde_json::Result<Value> {
+pub fn body(report: &SuspectReport) -> serde_json::Result<Value> {
     serde_json::to_value(QuarantineSpec {
-        ends: suspected.crashes.iter().map(Fingerprint::to_string).collect(),
-        finished: suspected.completed,
+        ends: report.crashes.iter().map(Fingerprint::to_string).collect(),
+        finished: report.completed,
         written_s: now_s(),
     })
 }
@@ -58,13 +58,13 @@
     let spec: QuarantineSpec = serde_json::from_str(spec)?;
     let ends: serde_json::Result<Vec<_>> = spec.ends.iter().map(|end| fingerprint(end)).collect();
     let age = Duration::from_secs(now_s().saturating_sub(spec.written_s));
-    let suspected = SuspectReport {
+    let report = SuspectReport {
         request: fingerprint(name)?,
         crashes: ends?,
         completed: spec.finished,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     };
-    Ok(StoredQuarantine { suspected, revision })
+    Ok(StoredQuarantine { report, revision })
 }
 
 fn fingerprint(text: &str) -> serde_json::Result<Fingerprint> {
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -10,7 +10,7 @@
 
 use super::{
     config, headers,
-    objects::{self, Changes, Listed, Read, ReadPage},
+    objects::{self, Changes, DecodedPage, ObjectList, ReadSpec},
     quarantine::{self, StoredQuarantine},
     servers,
 };
@@ -28,7 +28,7 @@
 
 /// A plain call: the store answers in milliseconds, and a slow one in half a
 /// second.
-pub(super) const CALL_LASTS: Duration = Duration::from_millis(1_500);
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// On top of the time that a watch waits.
 const WATCH_SLACK: Duration = Duration::from_millis(1_500);
 /// A list's page is at most a megabyte, a value as well; their JSON may escape.
@@ -51,12 +51,14 @@
     HistoryGone,
     /// The store came back from an older copy while the call was under way.
     #[error("the store came back from an older copy meanwhile; read again")]
-    EraChanged,
+    GenerationChanged,
     /// The answer is of before the store came back from an older copy.
-    #[error("the answer is of era {era} of the store, which is in {known}; ask again")]
-    OldEra {
+    #[error(
+        "the answer is of generation {generation} of the store, which is in {known}; ask again"
+    )]
+    StaleGeneration {
         /// Its era.
-        era: u64,
+        generation: u64,
         /// The store's.
         known: u64,
     },
@@ -74,31 +76,31 @@
     addr: SocketAddr,
     pool: Rc<Pool>,
     /// The latest era that an answer named; zero before.
-    era: Rc<watch::Sender<u64>>,
+    generation: Rc<watch::Sender<u64>>,
 }
 
 /// An answer of the store, in the era that is known.
-pub(super) struct Answered {
-    pub(super) era: u64,
+pub(super) struct StoreAnswer {
+    pub(super) generation: u64,
     pub(super) body: Bytes,
 }
 
 impl Store {
     /// The store at an address.
     pub fn new(addr: SocketAddr, pool: Rc<Pool>) -> Self {
-        Self { addr, pool, era: Rc::new(watch::Sender::new(0)) }
+        Self { addr, pool, generation: Rc::new(watch::Sender::new(0)) }
     }
 
     /// The store's era, as far as its answers named it.
-    pub fn era(&self) -> u64 {
-        *self.era.borrow()
+    pub fn generation(&self) -> u64 {
+        *self.generation.borrow()
     }
 
     /// Ends once the store is known to be in a later era.
-    pub async fn later_era(&self, era: u64) {
-        let mut eras = self.era.subscribe();
+    pub async fn later_generation(&self, generation: u64) {
+        let mut generations = self.generation.subscribe();
         // The sender is this store's own.
-        let _ = eras.wait_for(|known| *known > era).await;
+        let _ = generations.wait_for(|known| *known > generation).await;
     }
 
     /// The configuration, among the objects of its kind.
@@ -106,7 +108,7 @@
     /// # Errors
     ///
     /// See [`StoreError`].
-    pub async fn config(&self) -> Result<Listed<Option<Config>>, StoreError> {
+    pub async fn config(&self) -> Result<ObjectList<Option<Config>>, StoreError> {
         self.list(config::KIND, config::read).await
     }
 
@@ -128,7 +130,7 @@
     /// # Errors
     ///
     /// See [`StoreError`].
-    pub async fn servers(&self) -> Result<Listed<Server>, StoreError> {
+    pub async fn servers(&self) -> Result<ObjectList<Server>, StoreError> {
         self.list(servers::KIND, servers::read).await
     }
 
@@ -150,7 +152,7 @@
     /// # Errors
     ///
     /// See [`StoreError`].
-    pub async fn quarantined(&self) -> Result<Listed<StoredQuarantine>, StoreError> {
+    pub async fn quarantines(&self) -> Result<ObjectList<StoredQuarantine>, StoreError> {
         self.list(quarantine::KIND, quarantine::read).await
     }
 
@@ -159,11 +161,11 @@
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if it is there already.
-    pub async fn write_quarantine(&self, suspected: &SuspectReport) -> Result<(), StoreError> {
-        let metadata = json!({ "name": quarantine::name(suspected.request) });
-        let body = json!({ "metadata": metadata, "spec": quarantine::body(suspected)? });
+    pub async fn write_quarantine(&self, report: &SuspectReport) -> Result<(), StoreError> {
+        let metadata = json!({ "name": quarantine::name(report.request) });
+        let body = json!({ "metadata": metadata, "spec": quarantine::body(report)? });
         let path = format!("/objects/{}", quarantine::KIND);
-        self.call(Method::POST, &path, Some(&body), CALL_LASTS).await.map(drop)
+        self.call(Method::POST, &path, Some(&body), CALL_TIMEOUT).await.map(drop)
     }
 
     /// Deletes one, under the condition that it is as it was read.
@@ -171,14 +173,14 @@
     /// # Errors
     ///
     /// [`StoreError::Conflict`] if it was written again.
-    pub async fn drop_quarantine(&self, hold: &StoredQuarantine) -> Result<(), StoreError> {
-        let StoredQuarantine { suspected, revision } = hold;
-        let name = quarantine::name(suspected.request);
-        if revision.generation != self.era() {
-            return Err(StoreError::EraChanged);
+    pub async fn delete_quarantine(&self, stored: &StoredQuarantine) -> Result<(), StoreError> {
+        let StoredQuarantine { report, revision } = stored;
+        let name = quarantine::name(report.request);
+        if revision.generation != self.generation() {
+            return Err(StoreError::GenerationChanged);
         }
         let path = format!("/objects/{}/{name}?revision={}", quarantine::KIND, revision.number);
-        self.call(Method::DELETE, &path, None, CALL_LASTS).await.map(drop)
+        self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await.map(drop)
     }
 
     /// Whether the configuration has changed since a revision, from a cheap answer that
@@ -202,24 +204,31 @@
     }
 
     async fn probe(&self, kind: &str, since: Revision) -> Result<bool, StoreError> {
-        if since.generation != self.era() {
+        if since.generation != self.generation() {
             return Ok(true);
         }
         let path = format!("/objects/{kind}?watch={}&wait_ms=0&stale_ok=1", since.number);
-        let Answered { era, body } = self.call(Method::GET, &path, None, PROBE_TIMEOUT).await?;
-        let any: Read<()> = |_, _, _| Ok(());
-        Ok(era != since.generation || !objects::read_changes(&body, era, any)?.changes.is_empty())
+        let StoreAnswer { generation, body } =
+            self.call(Method::GET, &path, None, PROBE_TIMEOUT).await?;
+        let any: ReadSpec<()> = |_, _, _| Ok(());
+        Ok(generation != since.generation
+            || !objects::read_changes(&body, generation, any)?.changes.is_empty())
     }
 
-    pub(super) async fn list<T>(&self, kind: &str, read: Read<T>) -> Result<Listed<T>, StoreError> {
-        let mut all: Option<Listed<T>> = None;
+    pub(super) async fn list<T>(
+        &self,
+        kind: &str,
+        read: ReadSpec<T>,
+    ) -> Result<ObjectList<T>, StoreError> {
+        let mut all: Option<ObjectList<T>> = None;
         let mut query = String::new();
         loop {
             let path = format!("/objects/{kind}{query}");
-            let Answered { era, body } = self.call(Method::GET, &path, None, CALL_LASTS).await?;
-            let ReadPage { listed, next } = objects::read_page(&body, era, read)?;
-            if all.as_ref().is_some_and(|all| all.revision.generation != era) {
-                return Err(StoreError::EraChanged);
+            let StoreAnswer { generation, body } =
+                self.call(Method::GET, &path, None, CALL_TIMEOUT).await?;
+            let DecodedPage { listed, next } = objects::read_page(&body, generation, read)?;
+            if all.as_ref().is_some_and(|all| all.revision.generation != generation) {
+                return Err(StoreError::GenerationChanged);
             }
             // Changes made between two pages are seen again by the watch that
             // begins at the first page's revision.
@@ -227,16 +236,16 @@
                 None => all.insert(listed),
                 Some(all) => {
                     all.items.extend(listed.items);
-                    all.unread.extend(listed.unread);
+                    all.unreadable.extend(listed.unreadable);
                     all
                 }
             };
             match next {
                 Some(name) => query = format!("?after_rev={name}"),
                 None => {
-                    let Listed { items, unread, revision } = all;
-                    let (items, unread) = (std::mem::take(items), std::mem::take(unread));
-                    return Ok(Listed { items, unread, revision: *revision });
+                    let ObjectList { items, unreadable, revision } = all;
+                    let (items, unreadable) = (std::mem::take(items), std::mem::take(unreadable));
+                    return Ok(ObjectList { items, unreadable, revision: *revision });
                 }
             }
         }
@@ -247,18 +256,18 @@
         kind: &str,
         since: Revision,
         wait: Duration,
-        read: Read<T>,
+        read: ReadSpec<T>,
     ) -> Result<Changes<T>, StoreError> {
-        let Revision { generation: era, number } = since;
-        if era != self.era() {
-            return Err(StoreError::EraChanged);
+        let Revision { generation, number } = since;
+        if generation != self.generation() {
+            return Err(StoreError::GenerationChanged);
         }
         let path = format!("/objects/{kind}?watch={number}&wait_ms={}", wait.as_millis());
         let answered = self.call(Method::GET, &path, None, wait + WATCH_SLACK).await?;
-        if answered.era != era {
-            return Err(StoreError::EraChanged);
+        if answered.generation != generation {
+            return Err(StoreError::GenerationChanged);
         }
-        Ok(objects::read_changes(&answered.body, era, read)?)
+        Ok(objects::read_changes(&answered.body, generation, read)?)
     }
 
     pub(super) async fn call(
@@ -267,7 +276,7 @@
         path: &str,
         body: Option<&Value>,
         wait: Duration,
-    ) -> Result<Answered, StoreError> {
+    ) -> Result<StoreAnswer, StoreError> {
         let bytes = body.map(serde_json::to_vec).transpose()?.unwrap_or_default();
         let request = Request::builder()
             .method(method)
@@ -278,24 +287,24 @@
             .map_err(|_| StoreError::Refused { status: 400 })?;
         let called = self.pool.call(self.addr, request, wait, ANSWER_BYTES_MAX).await?;
         let Called { status, headers, body } = called;
-        let era = self.note_era(headers::read_era(&headers))?;
+        let generation = self.note_generation(headers::read_generation(&headers))?;
         match status {
-            200..=299 => Ok(Answered { era, body }),
+            200..=299 => Ok(StoreAnswer { generation, body }),
             409 => Err(StoreError::Conflict),
             410 => Err(StoreError::HistoryGone),
             _ => Err(StoreError::Refused { status }),
         }
     }
     /// Keeps the era that an answer names; one without is of the era that is known.
-    fn note_era(&self, told: Option<u64>) -> Result<u64, StoreError> {
-        let known = self.era();
-        let era = told.unwrap_or(known);
-        if era < known {
-            return Err(StoreError::OldEra { era, known });
+    fn note_generation(&self, told: Option<u64>) -> Result<u64, StoreError> {
+        let known = self.generation();
+        let generation = told.unwrap_or(known);
+        if generation < known {
+            return Err(StoreError::StaleGeneration { generation, known });
         }
-        if era > known {
-            self.era.send_replace(era);
+        if generation > known {
+            self.generation.send_replace(generation);
         }
-        Ok(era)
+        Ok(generation)
     }
 }
--- a/src/mastweir/sidecar/answers.rs
+++ b/src/mastweir/sidecar/answers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     gateway::message::{Counts, Poll, RankReport, RankStatus},
-    platform::engine::Choices,
+    platform::engine::Selections,
 };
 use std::{
     collections::{HashSet, VecDeque},
@@ -19,20 +19,20 @@
 #[derive(Debug, Default)]
 pub struct Readings {
     token: u64,
-    readings: VecDeque<(u64, Choices)>,
+    readings: VecDeque<(u64, Selections)>,
 }
 
 impl Readings {
     /// What was chosen since a poll, of so many sets from `first` on; nothing if that
     /// poll did not come here. Keeps what was read now.
-    pub fn since(&mut self, poll: &Poll, now: Choices, sets: usize) -> Vec<u32> {
+    pub fn since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
         if std::mem::replace(&mut self.token, poll.token) != poll.token {
             self.readings.clear();
         }
         let before = self.readings.iter().find(|(round, _)| *round == poll.since);
-        let same = |(_, before): &&(u64, Choices)| {
+        let same = |(_, before): &&(u64, Selections)| {
             let (a, b) = (before, &now);
-            (a.born, a.epoch, a.counts.len()) == (b.born, b.epoch, b.counts.len())
+            (a.incarnation, a.epoch, a.counts.len()) == (b.incarnation, b.epoch, b.counts.len())
         };
         let counts = before.filter(same).map(|(_, before)| chosen(poll, before, &now, sets));
         self.readings.push_back((poll.round, now));
@@ -43,7 +43,7 @@
     }
 }
 
-fn chosen(poll: &Poll, before: &Choices, now: &Choices, sets: usize) -> Vec<u32> {
+fn chosen(poll: &Poll, before: &Selections, now: &Selections, sets: usize) -> Vec<u32> {
     let (first, count) = poll.sets.unwrap_or_default();
     let experts = now.counts.len() / sets.max(1);
     let more = |at: usize| {
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/carry.rs
@@ -4,7 +4,7 @@
 use crate::{
     gateway::message::{BatchOrder, BatchOrderKind, BatchReplies, OrderBatch, OrderReply},
     net::internal,
-    platform::engine::{Engine, EngineError},
+    platform::engine::{EngineClient, EngineError},
 };
 use futures_util::future::join_all;
 use mastweir_core::switch::{
@@ -116,7 +116,7 @@
 ///
 /// An order and its repetition name the same life, version, pass and number of orders
 /// taken, so only one of them counts, however late the other comes.
-pub async fn carry_out(sidecar: &Sidecar, engine: &Engine, order: &Order) -> OrderReply {
+pub async fn carry_out(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> OrderReply {
     let given = give(sidecar, engine, order).await;
     sidecar.changed.notify_one();
     after(sidecar, engine, given).await
@@ -132,7 +132,7 @@
 }
 
 /// Gives an order to a server, some times over while it gets no answer.
-pub async fn give(sidecar: &Sidecar, engine: &Engine, order: &Order) -> Given {
+pub async fn give(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> Given {
     let mut unanswered = 0;
     while unanswered < GIVEN_MAX {
         match engine.order(order).await {
@@ -151,7 +151,7 @@
 }
 
 /// What a rank made of an order, with its state now.
-async fn after(sidecar: &Sidecar, engine: &Engine, given: Given) -> OrderReply {
+async fn after(sidecar: &Sidecar, engine: &EngineClient, given: Given) -> OrderReply {
     let state = engine.state().await.ok().and_then(|state| state.rank);
     let Given { taken, unanswered } = given;
     OrderReply { outcome: taken, state, read_at: sidecar.clock.now(), needs_map: false, unanswered }
--- a/src/mastweir/sidecar/coordinate.rs
+++ b/src/mastweir/sidecar/coordinate.rs
@@ -9,7 +9,7 @@
 };
 use crate::{
     gateway::message::{Message, PassForecast},
-    platform::engine::Engine,
+    platform::engine::EngineClient,
 };
 use mastweir_core::{
     experts::{
@@ -116,8 +116,8 @@
         known.ranks.ask_silent(self.sidecar, &self.shared.group, known.members.keys());
     }
 
-    pub(super) fn engine(&self, server: SocketAddr) -> Engine {
-        Engine::new(server, self.sidecar.internal.clone())
+    pub(super) fn engine(&self, server: SocketAddr) -> EngineClient {
+        EngineClient::new(server, self.sidecar.internal.clone())
     }
 
     fn shifts_seen(&self) -> u32 {
--- a/src/mastweir/sidecar/lead.rs
+++ b/src/mastweir/sidecar/lead.rs
@@ -161,12 +161,12 @@
         info!(sidecar.log, "another coordinator awaited"; "group" => group, "token" => last);
         return Ok(None);
     }
-    let token = election.next_token(last, was.era);
+    let token = election.next_token(last, was.generation);
     let taken = sidecar.store.take_lease(&name, token, &sidecar.name, &was).await;
     match taken {
         Ok(()) => {
-            if was.stored.is_none() && was.era > 0 {
-                task::spawn_local(clear_older(sidecar.clone(), name, was.era));
+            if was.stored.is_none() && was.generation > 0 {
+                task::spawn_local(clear_older(sidecar.clone(), name, was.generation));
             }
             Ok(Some(token))
         }
@@ -174,7 +174,7 @@
             // It may have landed all the same, in that era.
             let now = sidecar.store.lease(&name).await?;
             let is_ours = |now: &StoredLease| now.epoch == token && now.holder == sidecar.name;
-            let ours = now.era == was.era && now.stored.as_ref().is_some_and(is_ours);
+            let ours = now.generation == was.generation && now.stored.as_ref().is_some_and(is_ours);
             if ours { Ok(Some(token)) } else { Err(error.into()) }
         }
         Err(error) => Err(error),
@@ -183,7 +183,7 @@
 
 /// Clears what earlier eras left of a lease: one object for each.
 async fn clear_older(sidecar: Rc<Sidecar>, name: String, era: u64) {
-    if let Err(error) = sidecar.store.drop_older_leases(&name, era).await {
+    if let Err(error) = sidecar.store.delete_older_leases(&name, era).await {
         info!(sidecar.log, "older leases not cleared"; "lease" => &name, "era" => era,
             "error" => %error);
     }
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -16,7 +16,7 @@
 use crate::{
     gateway::message::{BatchOrder, BatchOrderKind, BatchReplies, OrderBatch, OrderReply},
     net::internal,
-    platform::engine::Engine,
+    platform::engine::EngineClient,
 };
 use futures_util::{
     FutureExt,
@@ -187,7 +187,7 @@
 /// after it.
 async fn give_directly(sidecar: &Sidecar, order: Addressed) -> Vec<Replied> {
     let Addressed { rank, seen, order } = order;
-    let engine = Engine::new(seen.server, sidecar.internal.clone());
+    let engine = EngineClient::new(seen.server, sidecar.internal.clone());
     if let (OrderKind::Load { version, map }, true) = (&order.kind, seen.server == sidecar.server) {
         sidecar.maps.borrow_mut().insert(*version, map.clone());
     }
--- a/src/mastweir/sidecar/poll.rs
+++ b/src/mastweir/sidecar/poll.rs
@@ -132,7 +132,7 @@
     let mut counts = Vec::new();
     if poll.sets.is_some() {
         let sets = sidecar.model.borrow().as_ref().map_or(1, |model| model.sets);
-        if let Ok(choices) = sidecar.engine.choices().await {
+        if let Ok(choices) = sidecar.engine.selections().await {
             counts = sidecar.readings.borrow_mut().since(poll, choices, sets);
         }
     }
@@ -158,8 +158,8 @@
         server: sidecar.server,
         state: rank,
         load: state.running + state.waiting,
-        slowdown_milli: state.pace_milli,
-        incarnation: state.born,
+        slowdown_milli: state.slowdown_milli,
+        incarnation: state.incarnation,
         read_at,
     })
 }
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/rank.rs
@@ -3,7 +3,7 @@
 use super::{poll, state::Sidecar};
 use crate::{
     gateway::message::{DATAGRAM_MAX, Message, RelayHello, ServerReport},
-    platform::{engine::EngineState, headers::NamedLimit},
+    platform::{engine::EngineState, headers::LimitHeader},
 };
 use mastweir_core::{
     gateway::{LoadReport, PassTimer},
@@ -49,9 +49,9 @@
 fn seen(sidecar: &Sidecar, mut state: EngineState, passes: &mut PassTimer) {
     let now = sidecar.clock.now();
     note_limit(sidecar, &mut state);
-    let before = sidecar.state.borrow().as_ref().map(|before| before.born);
-    if before.is_some_and(|before| before != state.born) {
-        info!(sidecar.log, "model server started again"; "born" => state.born, "before" => before);
+    let before = sidecar.state.borrow().as_ref().map(|before| before.incarnation);
+    if before.is_some_and(|before| before != state.incarnation) {
+        info!(sidecar.log, "model server started again"; "born" => state.incarnation, "before" => before);
         *passes = PassTimer::default();
     }
     if let Some(rank) = &state.rank {
@@ -60,10 +60,10 @@
     passes.record(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
     sidecar.pass_ms.set(passes.mean_ms());
     tell_speakers(sidecar, &state, passes, now);
-    let pace = sidecar.state.borrow().as_ref().map(|before| before.pace_milli);
-    if pace.is_some_and(|before| before != state.pace_milli) {
+    let pace = sidecar.state.borrow().as_ref().map(|before| before.slowdown_milli);
+    if pace.is_some_and(|before| before != state.slowdown_milli) {
         info!(sidecar.log, "model server's pace changed"; "before_milli" => pace,
-            "now_milli" => state.pace_milli);
+            "now_milli" => state.slowdown_milli);
     }
     *sidecar.state.borrow_mut() = Some(state);
     tell_unaware_lead(sidecar, now);
@@ -72,7 +72,7 @@
 /// Keeps the limit that the server named before where it can't be read: that is no end of it.
 fn note_limit(sidecar: &Sidecar, state: &mut EngineState) {
     let before = sidecar.state.borrow().as_ref().map(|before| before.limit).unwrap_or_default();
-    if state.limit == NamedLimit::Unreadable {
+    if state.limit == LimitHeader::Malformed {
         state.limit = before;
     }
     if state.limit != before {
@@ -101,8 +101,8 @@
         group_open: rank.is_none_or(|rank| rank.open && !stalled),
         pass: rank.map_or(0, |rank| rank.pass),
         pass_ms: passes.mean_ms() as u32,
-        slowdown_milli: state.pace_milli,
-        incarnation: state.born,
+        slowdown_milli: state.slowdown_milli,
+        incarnation: state.incarnation,
         leaving: state.leaving,
         limit: state.limit.rate(),
     };
--- a/src/mastweir/sidecar/ranks.rs
+++ b/src/mastweir/sidecar/ranks.rs
@@ -5,7 +5,7 @@
 //! stands still, must not hold up what the others need.
 
 use super::state::Sidecar;
-use crate::{gateway::message::RankStatus, net::http::Pool, platform::engine::Engine};
+use crate::{gateway::message::RankStatus, net::http::Pool, platform::engine::EngineClient};
 use mastweir_core::{switch::map_change::RankState, time::Uptime};
 use slog::info;
 use std::{
@@ -249,11 +249,11 @@
     at: Uptime,
     answers: mpsc::UnboundedSender<Asked>,
 ) {
-    let state = Engine::new(server, pool).state().await.ok();
+    let state = EngineClient::new(server, pool).state().await.ok();
     let state = state.filter(|state| state.group.as_deref() == Some(&group));
     // The coordinator may have ended meanwhile.
-    let pace_milli = state.as_ref().map_or(1_000, |state| state.pace_milli);
-    let born = state.as_ref().map_or(0, |state| state.born);
+    let pace_milli = state.as_ref().map_or(1_000, |state| state.slowdown_milli);
+    let born = state.as_ref().map_or(0, |state| state.incarnation);
     let state = state.and_then(|state| state.rank);
     let _ = answers.send(Asked { server, at, state, pace_milli, born });
 }
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -8,7 +8,7 @@
     gateway::message::{CoordinatorSeen, Message, Poll},
     net::http::Pool,
     platform::{
-        engine::{Engine, EngineState},
+        engine::{EngineClient, EngineState},
         store::Store,
     },
     util::clock::Clock,
@@ -72,7 +72,7 @@
     /// The log.
     pub log: Logger,
     /// The model server.
-    pub engine: Engine,
+    pub engine: EngineClient,
     /// The platform's store.
     pub store: Store,
     /// Connections to other sidecars.
@@ -117,7 +117,7 @@
             server: options.engine,
             clock: Clock::start(),
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
-            engine: Engine::new(options.engine, Rc::new(Pool::default())),
+            engine: EngineClient::new(options.engine, Rc::new(Pool::default())),
             store: Store::new(settings.store, Rc::new(Pool::default())),
             internal: Rc::new(Pool::default()),
             socket,
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -158,7 +158,7 @@
         }
         time::sleep(end.saturating_sub(now)).await;
         let revision = self.revision(self.now());
-        let changes = (since.number + 1..=revision).map(Change::Is).collect();
+        let changes = (since.number + 1..=revision).map(Change::Updated).collect();
         Ok(Changes { changes, revision: Revision::new(0, revision) })
     }
 
--- a/tests/testsuite/fuzz_generations.rs
+++ b/tests/testsuite/fuzz_generations.rs
@@ -7,7 +7,7 @@
 use mastweir::{
     net::http::Pool,
     platform::{
-        lease::ReadLease,
+        lease::LeaseSnapshot,
         store::{Store, StoreError},
     },
 };
@@ -30,7 +30,7 @@
 struct Candidate {
     store: Store,
     election: Election,
-    read: Option<ReadLease>,
+    read: Option<LeaseSnapshot>,
 }
 
 impl Candidate {
@@ -42,10 +42,10 @@
     async fn write(&mut self, name: &str) -> Result<Option<u64>> {
         let Some(read) = self.read.take() else { return Ok(None) };
         let last = read.stored.as_ref().map_or(0, |stored| stored.epoch);
-        let token = self.election.next_token(last, read.era);
+        let token = self.election.next_token(last, read.generation);
         match self.store.take_lease("g0", token, name, &read).await {
             Ok(()) => Ok(Some(token)),
-            Err(StoreError::Conflict | StoreError::EraChanged) => Ok(None),
+            Err(StoreError::Conflict | StoreError::GenerationChanged) => Ok(None),
             // The lease object of a lost generation no longer exists.
             Err(StoreError::Refused { status: 404 }) => Ok(None),
             Err(error) => Err(error.into()),
@@ -106,14 +106,14 @@
             for _ in 0..3 {
                 for group in ["g", "g-1"] {
                     let read = store.lease(group).await?;
-                    let token = Election::default().next_token(0, read.era);
+                    let token = Election::default().next_token(0, read.generation);
                     store.take_lease(group, token, "s", &read).await?;
                 }
                 platform.restore(platform.copy());
                 store.lease("g").await?;
             }
             expect_that!(platform.names("mastweir-leases").len(), eq(6));
-            store.drop_older_leases("g", 2).await?;
+            store.delete_older_leases("g", 2).await?;
             let left = platform.names("mastweir-leases");
             expect_that!(left, elements_are![eq("g-1"), eq("g-1.1"), eq("g-1.2"), eq("g.2")]);
             Ok(())
--- a/tests/testsuite/incarnations.rs
+++ b/tests/testsuite/incarnations.rs
@@ -9,7 +9,7 @@
 use googletest::prelude::*;
 use mastweir::{
     gateway::message::{Poll, RankStatus},
-    platform::engine::Choices,
+    platform::engine::Selections,
     sidecar::{answers::Readings, ranks::Ranks},
 };
 use mastweir_core::{
@@ -124,7 +124,12 @@
 
 #[googletest::test]
 fn counts_of_two_incarnations_are_not_subtracted() {
-    let read = |born, counts: &[u64]| Choices { born, epoch: 3, pass: 1, counts: counts.to_vec() };
+    let read = |incarnation, counts: &[u64]| Selections {
+        incarnation,
+        epoch: 3,
+        pass: 1,
+        counts: counts.to_vec(),
+    };
     let mut readings = Readings::default();
     readings.since(&poll(1, 0), read(FIRST, &[100, 100]), 1);
     // The second incarnation has already counted past the first.
--- a/tests/testsuite/odd_answers.rs
+++ b/tests/testsuite/odd_answers.rs
@@ -143,10 +143,10 @@
             expect_that!(store.servers().await?.revision.to_string(), eq("3.90"));
             let late = store.servers().await;
             expect_that!(
-                late.is_err_and(|error| matches!(error, StoreError::OldEra { .. })),
+                late.is_err_and(|error| matches!(error, StoreError::StaleGeneration { .. })),
                 eq(true)
             );
-            expect_that!(store.era(), eq(3));
+            expect_that!(store.generation(), eq(3));
             expect_that!(store.servers().await?.revision.to_string(), eq("3.95"));
             Ok(())
         })
--- a/tests/testsuite/rate_limits.rs
+++ b/tests/testsuite/rate_limits.rs
@@ -2,13 +2,13 @@
 
 use googletest::prelude::*;
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
-use mastweir::platform::headers::{NamedLimit, read_answer};
+use mastweir::platform::headers::{LimitHeader, read_answer};
 use mastweir_core::{
     gateway::{Fleet, LimitChange, LimitReport, LimitUpdate, Rate},
     time::Uptime,
 };
 
-fn read_limit(values: &[&str]) -> NamedLimit {
+fn read_limit(values: &[&str]) -> LimitHeader {
     let mut headers = HeaderMap::new();
     for value in values {
         let value = HeaderValue::from_str(value).expect("a header's value");
@@ -40,14 +40,14 @@
 
 #[googletest::test]
 fn limit_must_be_a_decimal_number() {
-    expect_that!(read_limit(&[]), eq(NamedLimit::Nothing));
+    expect_that!(read_limit(&[]), eq(LimitHeader::Absent));
     for (text, per_s) in [("0.25", 0.25), ("1e9", 1e9), (" 7 ", 7.0), ("0", 0.0), ("1.30", 1.3)] {
-        expect_that!(Some(read_limit(&[text])), eq(rate(per_s).map(NamedLimit::At)), "{text}");
+        expect_that!(Some(read_limit(&[text])), eq(rate(per_s).map(LimitHeader::Valid)), "{text}");
     }
     for text in ["nan", "inf", "-inf", "infinity", "-1", "", "3/s", "1,3", "1e999"] {
-        expect_that!(read_limit(&[text]), eq(NamedLimit::Unreadable), "{text}");
+        expect_that!(read_limit(&[text]), eq(LimitHeader::Malformed), "{text}");
     }
-    expect_that!(read_limit(&["1", "2"]), eq(NamedLimit::Unreadable));
+    expect_that!(read_limit(&["1", "2"]), eq(LimitHeader::Malformed));
 }
 
 #[googletest::test]
--- a/tests/testsuite/unreadable.rs
+++ b/tests/testsuite/unreadable.rs
@@ -190,12 +190,12 @@
         let listed = page.map(|page| page.listed).expect("the frame is good");
         let names: Vec<&str> = listed.items.iter().map(|server| server.id.as_str()).collect();
         assert!(names.first() == Some(&"a") && names.last() == Some(&"z"), "{names:?}");
-        assert_eq!(listed.items.len() + listed.unread.len(), items.len());
+        assert_eq!(listed.items.len() + listed.unreadable.len(), items.len());
         let watched = json!({ "events": events, "timestamp": 9 }).to_string();
         let changes =
             read_changes(watched.as_bytes(), 0, servers::read).expect("the frame is good");
         assert_eq!(changes.changes.len(), items.len());
-        let good = |change: &Change<_>| matches!(change, Change::Is(_));
+        let good = |change: &Change<_>| matches!(change, Change::Updated(_));
         assert!(changes.changes.first().is_some_and(good));
         assert!(changes.changes.last().is_some_and(good));
         Ok(())
@@ -219,7 +219,7 @@
     let page = read_page(&body, 0, servers::read);
     let listed = page.map(|page| page.listed);
     expect_that!(listed.as_ref().map(|listed| listed.items.len()).unwrap_or(0), eq(1));
-    expect_that!(listed.map(|listed| listed.unread.len()).unwrap_or(0), eq(1));
+    expect_that!(listed.map(|listed| listed.unreadable.len()).unwrap_or(0), eq(1));
 }
 
 #[googletest::test]
