--- a/src/mastweir/sidecar/answers.rs
+++ b/src/mastweir/sidecar/aggregation.rs
@@ -9,56 +9,57 @@
     net::IpAddr,
 };
 
-/// Readings that are kept: a poll refers to the one before.
-const READINGS: usize = 4;
+/// SelectionHistory that are kept: a poll refers to the one before.
+const HISTORY_LEN: usize = 4;
 /// Counts that are taken in: 128 sets of 1,024 experts. What comes from elsewhere must not
-/// take more memory than that.
+/// take increase memory than that.
 const COUNTS_MAX: usize = 1 << 17;
 
 /// What requests had chosen at earlier polls.
 #[derive(Debug, Default)]
-pub struct Readings {
+pub struct SelectionHistory {
     token: u64,
-    readings: VecDeque<(u64, Selections)>,
+    entries: VecDeque<(u64, Selections)>,
 }
 
-impl Readings {
+impl SelectionHistory {
     /// What was chosen since a poll, of so many sets from `first` on; nothing if that
     /// poll did not come here. Keeps what was read now.
-    pub fn since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
+    pub fn counts_since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
         if std::mem::replace(&mut self.token, poll.token) != poll.token {
-            self.readings.clear();
+            self.entries.clear();
         }
-        let before = self.readings.iter().find(|(round, _)| *round == poll.since);
+        let before = self.entries.iter().find(|(round, _)| *round == poll.since);
         let same = |(_, before): &&(u64, Selections)| {
             let (a, b) = (before, &now);
             (a.incarnation, a.epoch, a.counts.len()) == (b.incarnation, b.epoch, b.counts.len())
         };
-        let counts = before.filter(same).map(|(_, before)| chosen(poll, before, &now, sets));
-        self.readings.push_back((poll.round, now));
-        while self.readings.len() > READINGS {
-            self.readings.pop_front();
+        let counts =
+            before.filter(same).map(|(_, before)| selections_since(poll, before, &now, sets));
+        self.entries.push_back((poll.round, now));
+        while self.entries.len() > HISTORY_LEN {
+            self.entries.pop_front();
         }
         counts.unwrap_or_default()
     }
 }
 
-fn chosen(poll: &Poll, before: &Selections, now: &Selections, sets: usize) -> Vec<u32> {
+fn selections_since(poll: &Poll, before: &Selections, now: &Selections, sets: usize) -> Vec<u32> {
     let (first, count) = poll.sets.unwrap_or_default();
     let experts = now.counts.len() / sets.max(1);
-    let more = |at: usize| {
+    let increase = |at: usize| {
         // A server that restarted counts from zero.
         let (now, before) = (now.counts[at], before.counts[at]);
         let since = if now >= before { now - before } else { now };
         u32::try_from(since).unwrap_or(u32::MAX)
     };
     let asked = (0..usize::from(count)).map(|set| (usize::from(first) + set) % sets.max(1));
-    asked.flat_map(|set| (set * experts..(set + 1) * experts).map(more)).collect()
+    asked.flat_map(|set| (set * experts..(set + 1) * experts).map(increase)).collect()
 }
 
 /// A section's answers to one poll, while they come in.
 #[derive(Debug)]
-pub struct Gathering {
+pub struct Aggregation {
     /// The poll.
     pub poll: Poll,
     waiting: HashSet<IpAddr>,
@@ -68,7 +69,7 @@
     pub sums: Vec<u32>,
 }
 
-impl Gathering {
+impl Aggregation {
     /// None has answered yet.
     pub fn new(poll: Poll, waiting: HashSet<IpAddr>) -> Self {
         Self { poll, waiting, ranks: Vec::new(), sums: Vec::new() }
@@ -96,14 +97,14 @@
 
 /// The answers of a section that its head has not sent on.
 #[derive(Debug, Default)]
-pub struct Answers(Option<Gathering>);
+pub struct Aggregator(Option<Aggregation>);
 
-impl Answers {
+impl Aggregator {
     /// Begins to gather for another poll. What had come for the one before is given back,
     /// to be sent on: while a change is under way polls follow each other sooner than a
     /// silent rank is given up, and nothing of its section was heard.
-    pub fn begin(&mut self, poll: Poll, waiting: HashSet<IpAddr>) -> Option<Gathering> {
-        self.0.replace(Gathering::new(poll, waiting))
+    pub fn begin(&mut self, poll: Poll, waiting: HashSet<IpAddr>) -> Option<Aggregation> {
+        self.0.replace(Aggregation::new(poll, waiting))
     }
 
     /// Takes an answer in; the whole, if it was the last. Gives it back if it is for
@@ -116,9 +117,9 @@
         &mut self,
         from: IpAddr,
         report: RankReport,
-    ) -> Result<Option<Gathering>, RankReport> {
+    ) -> Result<Option<Aggregation>, RankReport> {
         let fits =
-            |open: &&mut Gathering| open.is_for(report.round) && open.poll.group == report.group;
+            |open: &&mut Aggregation| open.is_for(report.round) && open.poll.group == report.group;
         let Some(open) = self.0.as_mut().filter(fits) else { return Err(report) };
         open.add(from, report);
         let is_complete = open.is_complete();
@@ -126,21 +127,21 @@
     }
 
     /// What has come for a poll, complete or not; none if it was sent on.
-    pub fn end(&mut self, round: u64) -> Option<Gathering> {
+    pub fn finish(&mut self, round: u64) -> Option<Aggregation> {
         self.0.take_if(|open| open.is_for(round))
     }
 }
 
-/// Adds counts to sums, at their places.
+/// Adds counts to sums, at their slots.
 pub fn add_counts(sums: &mut Vec<u32>, counts: &Counts) {
-    let from = counts.offset as usize;
-    let end = from + counts.counts.len();
+    let offset = counts.offset as usize;
+    let end = offset + counts.counts.len();
     if end > COUNTS_MAX {
         return;
     }
     if sums.len() < end {
         sums.resize(end, 0);
     }
-    let places = sums[from..end].iter_mut();
-    places.zip(&counts.counts).for_each(|(sum, count)| *sum = sum.saturating_add(*count));
+    let slots = sums[offset..end].iter_mut();
+    slots.zip(&counts.counts).for_each(|(sum, count)| *sum = sum.saturating_add(*count));
 }
--- a/src/mastweir/sidecar/find_map.rs
+++ b/src/mastweir/sidecar/map_lookup.rs
@@ -1,6 +1,6 @@
 //! How a coordinator finds the map in force.
 
-use super::{coordinate::Coordinator, plan, ranks::Seen};
+use super::{coordinator::Coordinator, plan, rank_views::RankView};
 use crate::net::internal;
 use futures_util::future::join_all;
 use mastweir_core::switch::{
@@ -11,40 +11,41 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 /// Reading the map of a rank in another hall.
-const READ_LASTS: Duration = Duration::from_millis(600);
-/// Ranks that are asked for all of the map, one after the other.
-const WHOLE_ASKED: usize = 3;
+const READ_TIMEOUT: Duration = Duration::from_millis(600);
+/// RankViews that are asked for all of the map, one after the other.
+const FULL_MAP_ATTEMPTS: usize = 3;
 
 impl Coordinator<'_> {
-    /// Finds the map in force: this sidecar was told of it, or another was; in a new life
+    /// Finds the map in force: this sidecar was cached of it, or another was; in a new life
     /// of the group it is dealt out in turn; or it is read rank by rank.
     pub(super) async fn find_map(&mut self, version: u64, ranks: usize) {
         if self.map.as_ref().is_none_or(|(known, _)| *known != version) {
-            let told = self.sidecar.maps.borrow().get(version);
-            let told = match told {
+            let cached = self.sidecar.maps.borrow().get(version);
+            let cached = match cached {
                 Some(map) => Some(map),
-                None if version == 0 => self.dealt(ranks).await,
-                None => self.whole_of_another(version).await,
+                None if version == 0 => self.initial_map(ranks).await,
+                None => self.fetch_full_map(version).await,
             };
-            if let Some(map) = told.filter(|map| map.first().is_some_and(|set| set.len() == ranks))
+            if let Some(map) =
+                cached.filter(|map| map.first().is_some_and(|set| set.len() == ranks))
             {
                 info!(self.sidecar.log, "map known"; "group" => &self.shared.group,
                     "version" => version);
-                self.guessed = false;
-                self.keep(version, map);
+                self.is_inferred = false;
+                self.set_map(version, map);
                 return;
             }
         }
         self.read_map(version, ranks).await;
     }
 
-    fn keep(&mut self, version: u64, map: Arc<GroupMap>) {
+    fn set_map(&mut self, version: u64, map: Arc<GroupMap>) {
         self.sidecar.maps.borrow_mut().insert(version, map.clone());
         self.map = Some((version, map));
     }
 
     /// The map of a group's new life, if the server beside holds its part of it.
-    async fn dealt(&self, ranks: usize) -> Option<Arc<GroupMap>> {
+    async fn initial_map(&self, ranks: usize) -> Option<Arc<GroupMap>> {
         let (sets, experts) =
             self.sidecar.model.borrow().as_ref().map(|model| (model.sets, model.experts))?;
         let map = round_robin_map(sets, experts, ranks);
@@ -55,30 +56,29 @@
             experts.sort_unstable();
             experts
         };
-        let is_so = map.len() == held.len()
-            && map
-                .iter()
-                .zip(&held)
-                .all(|(set, held)| set.get(own).is_some_and(|dealt| sorted(dealt) == sorted(held)));
-        (version == 0 && is_so).then(|| Arc::new(map))
+        let is_initial = map.len() == held.len()
+            && map.iter().zip(&held).all(|(set, held)| {
+                set.get(own).is_some_and(|initial| sorted(initial) == sorted(held))
+            });
+        (version == 0 && is_initial).then(|| Arc::new(map))
     }
 
-    /// All of the map, from a sidecar that was told of it.
-    async fn whole_of_another(&self, version: u64) -> Option<Arc<GroupMap>> {
+    /// All of the map, from a sidecar that was cached of it.
+    async fn fetch_full_map(&self, version: u64) -> Option<Arc<GroupMap>> {
         let now = self.sidecar.clock.now();
         let servers: Vec<SocketAddr> = {
-            let known = self.shared.known.borrow();
-            let others = known
+            let state = self.shared.state.borrow();
+            let others = state
                 .ranks
                 .fresh(now)
-                .filter(|seen| seen.read_at.is_some() && seen.server != self.sidecar.server);
-            others.map(|seen| seen.server).take(WHOLE_ASKED).collect()
+                .filter(|view| view.read_at.is_some() && view.server != self.sidecar.server);
+            others.map(|view| view.server).take(FULL_MAP_ATTEMPTS).collect()
         };
         for server in servers {
             let addr = self.sidecar.addr(server.ip());
-            let pool = &self.sidecar.internal;
+            let pool = &self.sidecar.peer_pool;
             let map: Result<GroupMap, _> =
-                internal::call(pool, addr, "/whole", &version, READ_LASTS).await;
+                internal::call(pool, addr, "/whole", &version, READ_TIMEOUT).await;
             match map {
                 Ok(map) => return Some(Arc::new(map)),
                 Err(error) => warn!(self.sidecar.log, "map not told"; "server" => %server,
@@ -93,14 +93,14 @@
     async fn read_map(&mut self, version: u64, ranks: usize) {
         // One that is silent would hold up the others.
         let now = self.sidecar.clock.now();
-        let fresh: Vec<Seen> = self.shared.known.borrow().ranks.fresh(now).cloned().collect();
-        let reads = fresh.iter().map(async |seen| (seen.state.rank, self.read_rank(seen).await));
+        let fresh: Vec<RankView> = self.shared.state.borrow().ranks.fresh(now).cloned().collect();
+        let reads = fresh.iter().map(async |view| (view.state.rank, self.read_rank(view).await));
         let read: Vec<(u32, Option<(u64, RankExperts)>)> = join_all(reads).await;
         let mut by_rank: Vec<Option<RankExperts>> = vec![None; ranks];
         for (rank, layers) in read {
             let layers = layers.filter(|(read, _)| *read == version).map(|(_, layers)| layers);
-            if let Some(place) = by_rank.get_mut(rank as usize) {
-                *place = layers;
+            if let Some(slot) = by_rank.get_mut(rank as usize) {
+                *slot = layers;
             }
         }
         let missing = by_rank.iter().filter(|layers| layers.is_none()).count();
@@ -110,22 +110,22 @@
                 "version" => version, "missing" => missing);
             return;
         }
-        self.guessed = missing > 0;
+        self.is_inferred = missing > 0;
         info!(self.sidecar.log, "map read"; "group" => &self.shared.group, "version" => version,
             "missing" => missing);
-        let map = Arc::new(plan::assemble(&by_rank, experts));
-        if self.guessed {
+        let map = Arc::new(plan::assemble_map(&by_rank, experts));
+        if self.is_inferred {
             self.map = Some((version, map));
         } else {
-            self.keep(version, map);
+            self.set_map(version, map);
         }
     }
 
-    async fn read_rank(&self, seen: &Seen) -> Option<(u64, RankExperts)> {
-        if seen.read_at.is_none() || seen.server == self.sidecar.server {
-            return self.engine(seen.server).map().await.ok();
+    async fn read_rank(&self, view: &RankView) -> Option<(u64, RankExperts)> {
+        if view.read_at.is_none() || view.server == self.sidecar.server {
+            return self.engine(view.server).map().await.ok();
         }
-        let addr = self.sidecar.addr(seen.server.ip());
-        internal::call(&self.sidecar.internal, addr, "/map", &(), READ_LASTS).await.ok()
+        let addr = self.sidecar.addr(view.server.ip());
+        internal::call(&self.sidecar.peer_pool, addr, "/map", &(), READ_TIMEOUT).await.ok()
     }
 }
--- a/src/mastweir/sidecar/carry.rs
+++ b/src/mastweir/sidecar/order_executor.rs
@@ -16,23 +16,24 @@
 
 /// An order goes to a sidecar of the same hall and its server, and back; the coordinator
 /// waits 0.2 s longer than that for what all of a section answered.
-const PASSED_ON_LASTS: Duration = Duration::from_millis(400);
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Times that an order is given, beside its server, before its coordinator is told that it
 /// got no answer. With a tenth of them lost a round of 63 ranks lacks one in 160 rounds; given
 /// once it lacks six in each, and a round costs its coordinator the slowest rank's wait.
-const GIVEN_MAX: u32 = 4;
+const ATTEMPTS_MAX: u32 = 4;
 
-/// Answers another sidecar's call.
-pub async fn answer(sidecar: &Sidecar, path: &str, body: &[u8]) -> Option<Vec<u8>> {
+/// Aggregator another sidecar's call.
+pub async fn handle_call(sidecar: &Sidecar, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     match path {
         "/orders" => {
             let batch: OrderBatch = postcard::from_bytes(body).ok()?;
-            postcard::to_stdvec(&carry_all(sidecar, batch).await).ok()
-        }
-        "/state" => {
-            postcard::to_stdvec(&after(sidecar, &sidecar.engine, Given::default()).await).ok()
+            postcard::to_stdvec(&execute_batch(sidecar, batch).await).ok()
         }
+        "/state" => postcard::to_stdvec(
+            &reply_with_state(sidecar, &sidecar.engine, SendResult::default()).await,
+        )
+        .ok(),
         "/whole" => {
             let version: u64 = postcard::from_bytes(body).ok()?;
             postcard::to_stdvec(&*sidecar.maps.borrow().get(version)?).ok()
@@ -49,61 +50,61 @@
 }
 
 /// Carries out the order for the server beside, and passes the others on.
-async fn carry_all(sidecar: &Sidecar, batch: OrderBatch) -> BatchReplies {
+async fn execute_batch(sidecar: &Sidecar, batch: OrderBatch) -> BatchReplies {
     let OrderBatch { map, orders } = batch;
-    let carried = orders.into_iter().map(async |order| {
+    let results = orders.into_iter().map(async |order| {
         let server = order.server;
         let reply = if server == sidecar.server {
-            carry_own(sidecar, order, map.as_ref()).await
+            execute_own(sidecar, order, map.as_ref()).await
         } else {
-            pass_on(sidecar, order, map.as_ref()).await
+            forward_order(sidecar, order, map.as_ref()).await
         };
         (server, reply)
     });
-    join_all(carried).await
+    join_all(results).await
 }
 
-async fn pass_on(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
+async fn forward_order(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
     let server = order.server;
     let batch = OrderBatch { map: map.cloned(), orders: vec![order] };
     let addr = sidecar.addr(server.ip());
-    let call = internal::call(&sidecar.internal, addr, "/orders", &batch, PASSED_ON_LASTS);
-    let carried: Result<BatchReplies, _> = call.await;
-    let replies = carried.unwrap_or_else(|error| {
+    let call = internal::call(&sidecar.peer_pool, addr, "/orders", &batch, FORWARD_TIMEOUT);
+    let results: Result<BatchReplies, _> = call.await;
+    let replies = results.unwrap_or_else(|error| {
         warn!(sidecar.log, "order not passed on"; "server" => %server, "error" => %error);
         BatchReplies::new()
     });
     replies.into_iter().next().map(|(_, reply)| reply).unwrap_or_default()
 }
 
-async fn carry_own(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
+async fn execute_own(sidecar: &Sidecar, order: BatchOrder, map: Option<&MapDelta>) -> OrderReply {
     let kind = match order.kind {
         BatchOrderKind::Schedule { version, pass } => OrderKind::Schedule { version, pass },
         BatchOrderKind::Cancel { version } => OrderKind::Cancel { version },
         BatchOrderKind::Load => {
-            if map.is_some_and(|change| change.base == 0) {
-                know_dealt(sidecar);
+            if map.is_some_and(|delta| delta.base == 0) {
+                cache_initial_map(sidecar);
             }
-            let made = map.and_then(|change| {
-                let map = sidecar.maps.borrow_mut().apply(change)?;
-                Some(OrderKind::Load { version: change.version, map })
+            let load = map.and_then(|delta| {
+                let map = sidecar.maps.borrow_mut().apply(delta)?;
+                Some(OrderKind::Load { version: delta.version, map })
             });
-            let Some(kind) = made else {
-                let reply = after(sidecar, &sidecar.engine, Given::default()).await;
+            let Some(kind) = load else {
+                let reply = reply_with_state(sidecar, &sidecar.engine, SendResult::default()).await;
                 return OrderReply { needs_map: true, ..reply };
             };
             kind
         }
     };
-    let BatchOrder { token, order_seq: taken, epoch, .. } = order;
-    carry_out(sidecar, &sidecar.engine, &Order { token, order_seq: taken, epoch, kind }).await
+    let BatchOrder { token, order_seq, epoch, .. } = order;
+    execute(sidecar, &sidecar.engine, &Order { token, order_seq, epoch, kind }).await
 }
 
 /// Keeps the map of a group's new life, which is the base of the first changes; the digest
 /// of what comes out tells if it was another.
-fn know_dealt(sidecar: &Sidecar) {
+fn cache_initial_map(sidecar: &Sidecar) {
     let mut maps = sidecar.maps.borrow_mut();
-    let state = sidecar.state.borrow();
+    let state = sidecar.engine_state.borrow();
     let rank = state.as_ref().and_then(|state| state.rank.as_ref());
     let model = sidecar.model.borrow();
     if let (None, Some(rank), Some(model)) = (maps.get(0), rank, model.as_ref()) {
@@ -116,27 +117,27 @@
 ///
 /// An order and its repetition name the same life, version, pass and number of orders
 /// taken, so only one of them counts, however late the other comes.
-pub async fn carry_out(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> OrderReply {
-    let given = give(sidecar, engine, order).await;
-    sidecar.changed.notify_one();
-    after(sidecar, engine, given).await
+pub async fn execute(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> OrderReply {
+    let sent = send_order(sidecar, engine, order).await;
+    sidecar.state_changed.notify_one();
+    reply_with_state(sidecar, engine, sent).await
 }
 
 /// What came of giving an order.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Given {
+pub struct SendResult {
     /// What the server made of it; none if it gave no answer.
-    pub taken: Option<OrderOutcome>,
+    pub outcome: Option<OrderOutcome>,
     /// Times that it was given without an answer.
     pub unanswered: u32,
 }
 
 /// Gives an order to a server, some times over while it gets no answer.
-pub async fn give(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> Given {
+pub async fn send_order(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> SendResult {
     let mut unanswered = 0;
-    while unanswered < GIVEN_MAX {
+    while unanswered < ATTEMPTS_MAX {
         match engine.order(order).await {
-            Ok(taken) => return Given { taken: Some(taken), unanswered },
+            Ok(outcome) => return SendResult { outcome: Some(outcome), unanswered },
             Err(error) => {
                 unanswered += 1;
                 warn!(sidecar.log, "order without an answer"; "token" => order.token,
@@ -147,20 +148,24 @@
             }
         }
     }
-    Given { taken: None, unanswered }
+    SendResult { outcome: None, unanswered }
 }
 
 /// What a rank made of an order, with its state now.
-async fn after(sidecar: &Sidecar, engine: &EngineClient, given: Given) -> OrderReply {
+async fn reply_with_state(
+    sidecar: &Sidecar,
+    engine: &EngineClient,
+    sent: SendResult,
+) -> OrderReply {
     let state = engine.state().await.ok().and_then(|state| state.rank);
-    let Given { taken, unanswered } = given;
-    OrderReply { outcome: taken, state, read_at: sidecar.clock.now(), needs_map: false, unanswered }
+    let SendResult { outcome, unanswered } = sent;
+    OrderReply { outcome, state, read_at: sidecar.clock.now(), needs_map: false, unanswered }
 }
 
 /// Asks another sidecar for its rank's state.
-pub async fn state_of(sidecar: &Sidecar, server: SocketAddr, wait: Duration) -> OrderReply {
+pub async fn fetch_state(sidecar: &Sidecar, server: SocketAddr, wait: Duration) -> OrderReply {
     let addr = sidecar.addr(server.ip());
-    let call = internal::call(&sidecar.internal, addr, "/state", &(), wait);
+    let call = internal::call(&sidecar.peer_pool, addr, "/state", &(), wait);
     call.await.unwrap_or_else(|error| {
         warn!(sidecar.log, "sidecar gave no answer"; "server" => %server, "error" => %error);
         OrderReply::default()
--- a/src/mastweir/sidecar/plan.rs
+++ b/src/mastweir/sidecar/plan.rs
@@ -17,25 +17,25 @@
 /// then stands for some of them.
 const CHANGE_COST: f64 = 0.06;
 /// Passes take 15 in 100 longer while a rank loads, says the users' page.
-const LOAD_SLOWS: f64 = 0.15;
+const LOAD_SLOWDOWN: f64 = 0.15;
 /// Part of a group's places in use at which quicker passes begin to count, and at
 /// which they count in full.
-const PRESSURE_FROM: f64 = 0.3;
+const PRESSURE_START: f64 = 0.3;
 const PRESSURE_FULL: f64 = 0.7;
 /// What they count at least: a burst may come.
-const PRESSURE_LEAST: f64 = 0.1;
+const PRESSURE_MIN: f64 = 0.1;
 
 /// What quicker passes are worth to a group, 0 to 1, by the requests that run and
 /// wait at its ranks.
 pub fn pressure(model: &Model, load: u32, ranks: usize) -> f64 {
-    let places = (model.slots as usize * ranks).max(1);
-    let used = f64::from(load) / places as f64;
-    let part = (used - PRESSURE_FROM) / (PRESSURE_FULL - PRESSURE_FROM);
-    part.clamp(PRESSURE_LEAST, 1.0)
+    let slots = (model.slots as usize * ranks).max(1);
+    let used = f64::from(load) / slots as f64;
+    let ratio = (used - PRESSURE_START) / (PRESSURE_FULL - PRESSURE_START);
+    ratio.clamp(PRESSURE_MIN, 1.0)
 }
 
 /// A group's map from its ranks' parts. One that is missing gets what no other has.
-pub fn assemble(by_rank: &[Option<RankExperts>], experts: usize) -> GroupMap {
+pub fn assemble_map(by_rank: &[Option<RankExperts>], experts: usize) -> GroupMap {
     let sets = by_rank.iter().flatten().map(Vec::len).max().unwrap_or(0);
     let of = |rank: &Option<RankExperts>, set: usize| {
         rank.as_ref().and_then(|layers| layers.get(set)).cloned().unwrap_or_default()
@@ -62,6 +62,6 @@
         horizon_s: HORIZON_S,
         load_cost: MB_COST * model.load_mb,
         change_cost: CHANGE_COST,
-        load_slowdown: LOAD_SLOWS,
+        load_slowdown: LOAD_SLOWDOWN,
     }
 }
--- a/src/mastweir/sidecar/rank.rs
+++ b/src/mastweir/sidecar/server_watch.rs
@@ -1,6 +1,6 @@
-//! The server beside: its state, told to the hall's speakers, and datagrams for it.
+//! The server beside: its state, told to the hall's relays, and datagrams for it.
 
-use super::{poll, state::Sidecar};
+use super::{poll_answer, state::Sidecar};
 use crate::{
     gateway::message::{DATAGRAM_MAX, Message, RelayHello, ServerReport},
     platform::{engine::EngineState, headers::LimitHeader},
@@ -13,43 +13,43 @@
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::time;
 
-/// The server is looked at, and the hall's speakers are told of it, this often: what they
+/// The server is looked at, and the hall's relays are told of it, this often: what they
 /// tell gateways is up to 0.35 s older then, and a gateway leaves out a server that was
 /// silent for 0.7 s.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const REPORT_PERIOD: Duration = Duration::from_millis(100);
 /// A coordinator that was heard of and does not poll for this long may not know of this
 /// rank: three polls.
-const UNPOLLED: Duration = Duration::from_millis(320);
+const UNPOLLED_TIMEOUT: Duration = Duration::from_millis(320);
 
 /// Looks at the server, for ever, and tells the others.
-pub async fn watch(sidecar: Rc<Sidecar>) {
+pub async fn watch_server(sidecar: Rc<Sidecar>) {
     let mut passes = PassTimer::default();
-    let mut lost = false;
+    let mut is_lost = false;
     loop {
         match sidecar.engine.state().await {
             Ok(state) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut is_lost) {
                     info!(sidecar.log, "model server regained"; "server" => %sidecar.engine.addr());
                 }
-                seen(&sidecar, state, &mut passes);
+                record_state(&sidecar, state, &mut passes);
             }
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut is_lost, true) {
                     warn!(sidecar.log, "model server lost"; "server" => %sidecar.engine.addr(),
                         "error" => %error);
                 }
-                *sidecar.state.borrow_mut() = None;
+                *sidecar.engine_state.borrow_mut() = None;
             }
         }
         // An order shortens the wait; its effect is told at once.
-        let _ = time::timeout(LOOK_EVERY, sidecar.changed.notified()).await;
+        let _ = time::timeout(REPORT_PERIOD, sidecar.state_changed.notified()).await;
     }
 }
 
-fn seen(sidecar: &Sidecar, mut state: EngineState, passes: &mut PassTimer) {
+fn record_state(sidecar: &Sidecar, mut state: EngineState, passes: &mut PassTimer) {
     let now = sidecar.clock.now();
-    note_limit(sidecar, &mut state);
-    let before = sidecar.state.borrow().as_ref().map(|before| before.incarnation);
+    keep_limit(sidecar, &mut state);
+    let before = sidecar.engine_state.borrow().as_ref().map(|before| before.incarnation);
     if before.is_some_and(|before| before != state.incarnation) {
         info!(sidecar.log, "model server started again"; "born" => state.incarnation, "before" => before);
         *passes = PassTimer::default();
@@ -59,19 +59,20 @@
     }
     passes.record(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
     sidecar.pass_ms.set(passes.mean_ms());
-    tell_speakers(sidecar, &state, passes, now);
-    let pace = sidecar.state.borrow().as_ref().map(|before| before.slowdown_milli);
+    send_report(sidecar, &state, passes, now);
+    let pace = sidecar.engine_state.borrow().as_ref().map(|before| before.slowdown_milli);
     if pace.is_some_and(|before| before != state.slowdown_milli) {
         info!(sidecar.log, "model server's pace changed"; "before_milli" => pace,
             "now_milli" => state.slowdown_milli);
     }
-    *sidecar.state.borrow_mut() = Some(state);
-    tell_unaware_lead(sidecar, now);
+    *sidecar.engine_state.borrow_mut() = Some(state);
+    announce_if_unpolled(sidecar, now);
 }
 
 /// Keeps the limit that the server named before where it can't be read: that is no end of it.
-fn note_limit(sidecar: &Sidecar, state: &mut EngineState) {
-    let before = sidecar.state.borrow().as_ref().map(|before| before.limit).unwrap_or_default();
+fn keep_limit(sidecar: &Sidecar, state: &mut EngineState) {
+    let before =
+        sidecar.engine_state.borrow().as_ref().map(|before| before.limit).unwrap_or_default();
     if state.limit == LimitHeader::Malformed {
         state.limit = before;
     }
@@ -82,18 +83,18 @@
 }
 
 /// A coordinator that was heard of and does not poll this rank is told that it is here.
-fn tell_unaware_lead(sidecar: &Sidecar, now: Uptime) {
-    let is_polled = now.since(sidecar.polled.get()) < UNPOLLED;
-    let lead: Option<IpAddr> = sidecar.heard.borrow().as_ref().map(|heard| heard.lead);
-    if let Some(lead) = lead.filter(|lead| !is_polled && *lead != sidecar.ip) {
-        poll::join(sidecar, lead);
+fn announce_if_unpolled(sidecar: &Sidecar, now: Uptime) {
+    let is_polled = now.since(sidecar.last_polled.get()) < UNPOLLED_TIMEOUT;
+    let coordinator: Option<IpAddr> = sidecar.coordinator.borrow().as_ref().map(|known| known.ip);
+    if let Some(ip) = coordinator.filter(|ip| !is_polled && *ip != sidecar.ip) {
+        poll_answer::announce_rank(sidecar, ip);
     }
 }
 
-fn tell_speakers(sidecar: &Sidecar, state: &EngineState, passes: &PassTimer, now: Uptime) {
+fn send_report(sidecar: &Sidecar, state: &EngineState, passes: &PassTimer, now: Uptime) {
     let rank = state.rank.as_ref();
     let stalled = passes.is_stalled(state.running, now);
-    let told = LoadReport {
+    let load = LoadReport {
         running: state.running,
         waiting: state.waiting,
         memory_milli: state.memory_milli,
@@ -106,28 +107,27 @@
         leaving: state.leaving,
         limit: state.limit.rate(),
     };
-    let lead = sidecar.lead_seen();
-    let report =
-        Message::Report(ServerReport { server: sidecar.server, load: told, coordinator: lead });
-    for ip in sidecar.speakers.borrow_mut().expire(now) {
+    let coordinator = sidecar.known_coordinator();
+    let report = Message::Report(ServerReport { server: sidecar.server, load, coordinator });
+    for ip in sidecar.relays.borrow_mut().expire(now) {
         info!(sidecar.log, "speaker lost"; "peer" => %ip);
     }
-    sidecar.speakers.borrow().live().for_each(|ip| sidecar.send(ip, &report));
+    sidecar.relays.borrow().live().for_each(|ip| sidecar.send(ip, &report));
 }
 
 /// Takes datagrams in, for ever.
-pub async fn receive(sidecar: Rc<Sidecar>) {
+pub async fn receive_datagrams(sidecar: Rc<Sidecar>) {
     let mut buffer = vec![0; DATAGRAM_MAX * 2];
     loop {
         // An error says that an earlier datagram met a closed port.
         let Ok((len, from)) = sidecar.socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes(&buffer[..len]) {
-            Ok(Message::RelayHello(greeting)) => greeted(&sidecar, greeting, from.ip()),
-            Ok(Message::Poll(asked)) => poll::polled(&sidecar, asked, from.ip()),
-            Ok(Message::Rank(report)) => sidecar.take_report(report, from.ip()),
+            Ok(Message::RelayHello(hello)) => handle_announcement(&sidecar, hello, from.ip()),
+            Ok(Message::Poll(asked)) => poll_answer::handle_poll(&sidecar, asked, from.ip()),
+            Ok(Message::Rank(report)) => sidecar.record_answer(report, from.ip()),
             Ok(section @ Message::Subtree(_)) => {
                 // A coordinator that is behind gets the next one.
-                let _ = sidecar.reports.try_send(section);
+                let _ = sidecar.answer_tx.try_send(section);
             }
             Ok(
                 Message::Hello(_)
@@ -144,15 +144,15 @@
     }
 }
 
-fn greeted(sidecar: &Sidecar, greeting: RelayHello, from: IpAddr) {
+fn handle_announcement(sidecar: &Sidecar, hello: RelayHello, from: IpAddr) {
     let now = sidecar.clock.now();
     // One that is leaving still serves: without reports it would take all servers for
     // lost, and cut its last streams. It is forgotten when it says no more.
-    if sidecar.speakers.borrow_mut().refresh(from, now) {
+    if sidecar.relays.borrow_mut().refresh(from, now) {
         info!(sidecar.log, "speaker found"; "peer" => %from);
     }
-    if greeting.model.is_some() {
-        *sidecar.model.borrow_mut() = greeting.model;
+    if hello.model.is_some() {
+        *sidecar.model.borrow_mut() = hello.model;
     }
-    greeting.coordinator.into_iter().for_each(|lead| sidecar.hear_of(lead));
+    hello.coordinator.into_iter().for_each(|seen| sidecar.record_coordinator(seen));
 }
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -2,7 +2,7 @@
 
 use super::{
     SidecarOptions,
-    answers::{Answers, Readings},
+    aggregation::{Aggregator, SelectionHistory},
 };
 use crate::{
     gateway::message::{CoordinatorSeen, Message, Poll},
@@ -32,13 +32,13 @@
 
 /// Reports that wait for the coordinator: three rounds of a group of 512 ranks, whose
 /// sums of all sets take nine datagrams each of its 25 sections.
-const REPORTS_WAITING: usize = 700;
+const ANSWER_QUEUE_MAX: usize = 700;
 
 /// A coordinator that was heard.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct KnownCoordinator {
     /// Where it is.
-    pub lead: IpAddr,
+    pub ip: IpAddr,
     /// Its group.
     pub group: String,
     /// Its token.
@@ -46,12 +46,12 @@
     /// Number of its poll.
     pub round: u64,
     /// When.
-    pub at: Uptime,
+    pub seen_at: Uptime,
 }
 
-impl Heard {
+impl KnownCoordinator {
     /// Whether it is the coordinator of that group.
-    pub fn leads(&self, group: &str) -> bool {
+    pub fn coordinates(&self, group: &str) -> bool {
         self.group == group
     }
 }
@@ -76,40 +76,40 @@
     /// The platform's store.
     pub store: Store,
     /// Connections to other sidecars.
-    pub internal: Rc<Pool>,
+    pub peer_pool: Rc<Pool>,
     /// The socket for datagrams.
     pub socket: UdpSocket,
     /// The gateways that speak for the hall.
-    pub speakers: RefCell<Listeners>,
+    pub relays: RefCell<Listeners>,
     /// The engine's model.
     pub model: RefCell<Option<Model>>,
     /// The server's state as last read.
-    pub state: RefCell<Option<EngineState>>,
+    pub engine_state: RefCell<Option<EngineState>>,
     /// The coordinator that was heard last.
-    pub heard: RefCell<Option<Heard>>,
+    pub coordinator: RefCell<Option<KnownCoordinator>>,
     /// When a coordinator polled last.
-    pub polled: Cell<Uptime>,
+    pub last_polled: Cell<Uptime>,
     /// What requests had chosen at earlier polls.
-    pub readings: RefCell<Readings>,
+    pub selections: RefCell<SelectionHistory>,
     /// The answers of the section, where this sidecar is its head.
-    pub answers: RefCell<Answers>,
+    pub aggregator: RefCell<Aggregator>,
     /// The group's maps.
     pub maps: RefCell<MapCache>,
     /// Reports for this sidecar as the coordinator.
-    pub reports: mpsc::Sender<Message>,
+    pub answer_tx: mpsc::Sender<Message>,
     /// The other end of it.
-    pub received: RefCell<Option<mpsc::Receiver<Message>>>,
+    pub answer_rx: RefCell<Option<mpsc::Receiver<Message>>>,
     /// Milliseconds that the last passes took, on average.
     pub pass_ms: Cell<f64>,
     /// Wakes the watch of the server: its state has changed.
-    pub changed: Notify,
+    pub state_changed: Notify,
 }
 
 impl Sidecar {
     /// A sidecar that knows nothing yet.
     pub fn new(options: &SidecarOptions, socket: UdpSocket) -> Self {
         let settings = &options.settings;
-        let (reports, received) = mpsc::channel(REPORTS_WAITING);
+        let (answer_tx, answer_rx) = mpsc::channel(ANSWER_QUEUE_MAX);
         Self {
             name: settings.name.clone(),
             ip: settings.ip,
@@ -119,20 +119,20 @@
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
             engine: EngineClient::new(options.engine, Rc::new(Pool::default())),
             store: Store::new(settings.store, Rc::new(Pool::default())),
-            internal: Rc::new(Pool::default()),
+            peer_pool: Rc::new(Pool::default()),
             socket,
-            speakers: RefCell::default(),
+            relays: RefCell::default(),
             model: RefCell::default(),
-            state: RefCell::default(),
-            heard: RefCell::default(),
-            polled: Cell::default(),
-            readings: RefCell::default(),
-            answers: RefCell::default(),
+            engine_state: RefCell::default(),
+            coordinator: RefCell::default(),
+            last_polled: Cell::default(),
+            selections: RefCell::default(),
+            aggregator: RefCell::default(),
             maps: RefCell::default(),
-            reports,
-            received: RefCell::new(Some(received)),
+            answer_tx,
+            answer_rx: RefCell::new(Some(answer_rx)),
             pass_ms: Cell::new(0.0),
-            changed: Notify::new(),
+            state_changed: Notify::new(),
         }
     }
 
@@ -145,37 +145,37 @@
 
     /// Whether a poll is to be answered: not one of a coordinator that was followed by
     /// another.
-    pub fn heed(&self, poll: &Poll) -> bool {
-        let heard = self.heard.borrow();
-        let newer = heard.as_ref().filter(|heard| heard.group == poll.group);
-        newer.is_none_or(|heard| heard.token <= poll.token)
+    pub fn accepts_poll(&self, poll: &Poll) -> bool {
+        let known = self.coordinator.borrow();
+        let same_group = known.as_ref().filter(|known| known.group == poll.group);
+        same_group.is_none_or(|known| known.token <= poll.token)
     }
 
     /// The coordinator that was heard last, as it is told to others.
-    pub fn lead_seen(&self) -> Option<CoordinatorSeen> {
-        let heard = self.heard.borrow();
-        let heard = heard.as_ref()?;
-        let age = self.clock.now().since(heard.at).as_millis();
+    pub fn known_coordinator(&self) -> Option<CoordinatorSeen> {
+        let known = self.coordinator.borrow();
+        let known = known.as_ref()?;
+        let age = self.clock.now().since(known.seen_at).as_millis();
         Some(CoordinatorSeen {
-            group: heard.group.clone(),
-            token: heard.token,
-            round: heard.round,
-            ip: heard.lead,
+            group: known.group.clone(),
+            token: known.token,
+            round: known.round,
+            ip: known.ip,
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         })
     }
 
     /// Takes in what another says of the group's coordinator.
-    pub fn hear_of(&self, seen: CoordinatorSeen) {
+    pub fn record_coordinator(&self, seen: CoordinatorSeen) {
         let now = self.clock.now();
-        let at = now - Duration::from_millis(u64::from(seen.age_ms));
-        let mut heard = self.heard.borrow_mut();
-        let newer = heard.as_ref().is_none_or(|heard| {
-            heard.group != seen.group || (heard.token, heard.round) < (seen.token, seen.round)
+        let seen_at = now - Duration::from_millis(u64::from(seen.age_ms));
+        let mut known = self.coordinator.borrow_mut();
+        let is_newer = known.as_ref().is_none_or(|known| {
+            known.group != seen.group || (known.token, known.round) < (seen.token, seen.round)
         });
-        if newer {
+        if is_newer {
             let CoordinatorSeen { group, token, round, ip, .. } = seen;
-            *heard = Some(Heard { lead: ip, group, token, round, at });
+            *known = Some(KnownCoordinator { ip, group, token, round, seen_at });
         }
     }
 
--- a/tests/testsuite/answers.rs
+++ b/tests/testsuite/aggregation.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use mastweir::{
     gateway::message::{Counts, Poll, RankReport, RankStatus},
-    sidecar::answers::{Answers, add_counts},
+    sidecar::aggregation::{Aggregator, add_counts},
 };
 use mastweir_core::{switch::map_change::RankState, time::Uptime};
 use std::net::{IpAddr, SocketAddr};
@@ -40,36 +40,36 @@
 
 #[googletest::test]
 fn the_sum_is_sent_once_all_have_answered() {
-    let mut answers = Answers::default();
-    expect_that!(answers.begin(poll(1), (1..=3).map(ip).collect()).is_none(), eq(true));
+    let mut aggregator = Aggregator::default();
+    expect_that!(aggregator.begin(poll(1), (1..=3).map(ip).collect()).is_none(), eq(true));
     for number in 1..=2 {
-        let open = answers.add(ip(number), report(number, 1, vec![5, 0, 1]));
+        let open = aggregator.add(ip(number), report(number, 1, vec![5, 0, 1]));
         expect_that!(open.is_ok_and(|whole| whole.is_none()), eq(true));
     }
-    let whole = answers.add(ip(3), report(3, 1, vec![1, 2, 3])).ok().flatten();
+    let whole = aggregator.add(ip(3), report(3, 1, vec![1, 2, 3])).ok().flatten();
     let whole = whole.expect("all have answered");
     expect_that!(whole.sums, eq(&vec![11, 2, 5]));
     expect_that!(whole.ranks.len(), eq(3));
     // Nothing is left to be sent later, and what comes late is for the coordinator itself.
-    expect_that!(answers.end(1).is_none(), eq(true));
-    expect_that!(answers.add(ip(3), report(3, 1, Vec::new())).is_err(), eq(true));
+    expect_that!(aggregator.finish(1).is_none(), eq(true));
+    expect_that!(aggregator.add(ip(3), report(3, 1, Vec::new())).is_err(), eq(true));
 }
 
 /// A rank of the section is silent, and polls come sooner than it is given up: what the
 /// others say is heard all the same.
 #[googletest::test]
 fn polls_that_overtake_a_silent_rank_lose_nothing_of_the_others() {
-    let mut answers = Answers::default();
+    let mut aggregator = Aggregator::default();
     let mut heard = 0;
     for round in 1..=10 {
-        let before = answers.begin(poll(round), (1..=3).map(ip).collect());
+        let before = aggregator.begin(poll(round), (1..=3).map(ip).collect());
         heard += before.map_or(0, |before| before.ranks.len());
         for number in 1..=2 {
-            let open = answers.add(ip(number), report(number, round, Vec::new()));
+            let open = aggregator.add(ip(number), report(number, round, Vec::new()));
             expect_that!(open.is_ok_and(|whole| whole.is_none()), eq(true));
         }
     }
-    heard += answers.end(10).map_or(0, |rest| rest.ranks.len());
+    heard += aggregator.finish(10).map_or(0, |rest| rest.ranks.len());
     expect_that!(heard, eq(20));
 }
 
--- a/tests/testsuite/incarnations.rs
+++ b/tests/testsuite/incarnations.rs
@@ -10,7 +10,7 @@
 use mastweir::{
     gateway::message::{Poll, RankStatus},
     platform::engine::Selections,
-    sidecar::{answers::Readings, ranks::Ranks},
+    sidecar::{aggregation::SelectionHistory, rank_views::RankViews},
 };
 use mastweir_core::{
     gateway::{Fleet, LoadReport, Requirements, Server, ServerState},
@@ -130,17 +130,23 @@
         pass: 1,
         counts: counts.to_vec(),
     };
-    let mut readings = Readings::default();
-    readings.since(&poll(1, 0), read(FIRST, &[100, 100]), 1);
+    let mut selections = SelectionHistory::default();
+    selections.counts_since(&poll(1, 0), read(FIRST, &[100, 100]), 1);
     // The second incarnation has already counted past the first.
-    expect_that!(readings.since(&poll(2, 1), read(SECOND, &[400, 101]), 1), eq(&Vec::<u32>::new()));
-    expect_that!(readings.since(&poll(3, 2), read(SECOND, &[405, 103]), 1), eq(&vec![5, 2]));
+    expect_that!(
+        selections.counts_since(&poll(2, 1), read(SECOND, &[400, 101]), 1),
+        eq(&Vec::<u32>::new())
+    );
+    expect_that!(
+        selections.counts_since(&poll(3, 2), read(SECOND, &[405, 103]), 1),
+        eq(&vec![5, 2])
+    );
 }
 
 #[googletest::test]
 fn loads_of_the_previous_incarnation_are_not_awaited() {
     let at = Uptime::from_secs(5);
-    let mut ranks = Ranks::new(Uptime::default());
+    let mut ranks = RankViews::new(Uptime::default());
     let brief = |born, read_at| RankStatus {
         server: ([10, 0, 0, 1], 80).into(),
         state: RankState { epoch: 2, size: 1, open: true, ..RankState::default() },
@@ -149,13 +155,13 @@
         incarnation: born,
         read_at,
     };
-    let is_busy = |ranks: &Ranks| {
+    let is_busy = |ranks: &RankViews| {
         ranks.states(Some(7), at).first().cloned().flatten().is_some_and(|state| state.busy)
     };
-    ranks.report(brief(FIRST, at), at);
-    ranks.loads(0, 7, 2, at);
+    ranks.record_answer(brief(FIRST, at), at);
+    ranks.record_load(0, 7, 2, at);
     expect_that!(is_busy(&ranks), eq(true));
-    ranks.report(brief(SECOND, at), at);
+    ranks.record_answer(brief(SECOND, at), at);
     expect_that!(is_busy(&ranks), eq(false));
 }
 
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,6 +1,6 @@
 //! Tests of mastweir, a file a feature.
 
-mod answers;
+mod aggregation;
 mod busy_server;
 mod callers;
 mod circles;
