--- a/src/mastweir/gateway/crash_probe.rs
+++ b/src/mastweir/gateway/crash_probe.rs
@@ -98,7 +98,7 @@
         "requests" => requests.len(), "first" => requests.first().map(Fingerprint::to_string));
     for request in &requests {
         if suspects.record_crash(*request, life, now) {
-            quarantine::begun(gateway, *request, quarantine::OWN);
+            quarantine::start(gateway, *request, quarantine::FROM_PROBES);
         }
     }
 }
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -15,11 +15,11 @@
 use std::{net::IpAddr, rc::Rc, time::Duration};
 
 /// A fetch of some hundred KB between halls.
-const FETCH_LASTS: Duration = Duration::from_millis(800);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Requests that are quarantined that a gateway is told of when it starts, at most: 80 bytes
 /// each.
-const QUARANTINED_SENT: usize = 4_096;
+const QUARANTINES_MAX: usize = 4_096;
 
 /// Fetches what another gateway has newer.
 pub async fn fetch(gateway: Rc<Gateway>, from: IpAddr) {
@@ -29,7 +29,7 @@
     }
     let version = gateway.version();
     let config =
-        internal::call(&gateway.internal_pool, addr, "/config", &version, FETCH_LASTS).await;
+        internal::call(&gateway.internal_pool, addr, "/config", &version, FETCH_TIMEOUT).await;
     match config {
         Ok(Some(config)) => gateway.adopt_config(config, &from.to_string()),
         Ok(None) => (),
@@ -39,16 +39,16 @@
     }
     let revision = gateway.fleet.borrow().directory().revision;
     let change: Result<Option<DirectoryChange>, _> =
-        internal::call(&gateway.internal_pool, addr, "/servers", &revision, FETCH_LASTS).await;
+        internal::call(&gateway.internal_pool, addr, "/servers", &revision, FETCH_TIMEOUT).await;
     match change {
         Ok(Some(change)) => {
-            let whole = change.is_complete;
-            let gone = change.removed.clone();
+            let is_complete = change.is_complete;
+            let removed = change.removed.clone();
             let directory = gateway.fleet.borrow().directory().changed(change);
-            if whole {
+            if is_complete {
                 gateway.adopt_complete(directory, false, &from.to_string());
             } else {
-                gateway.adopt_changes(directory, &gone, false, &from.to_string());
+                gateway.adopt_changes(directory, &removed, false, &from.to_string());
             }
         }
         Ok(None) => (),
@@ -60,10 +60,10 @@
 async fn fetch_quarantined(gateway: &Rc<Gateway>, from: IpAddr) {
     let addr = gateway.internal_addr(from);
     let fetched: Result<Vec<SuspectReport>, _> =
-        internal::call(&gateway.internal_pool, addr, "/quarantined", &(), FETCH_LASTS).await;
+        internal::call(&gateway.internal_pool, addr, "/quarantined", &(), FETCH_TIMEOUT).await;
     match fetched {
         Ok(suspected) => {
-            quarantine::told(gateway, &suspected, &from.to_string());
+            quarantine::merge(gateway, &suspected, &from.to_string());
             gateway.has_quarantines.set(true);
         }
         Err(error) => {
@@ -76,27 +76,27 @@
 pub fn answer(gateway: &Gateway, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     let bytes = match path {
         "/config" => {
-            let has: u64 = postcard::from_bytes(body).ok()?;
+            let known: u64 = postcard::from_bytes(body).ok()?;
             let active = gateway.active();
-            let newer = active.as_ref().filter(|active| active.config.version > has);
+            let newer = active.as_ref().filter(|active| active.config.version > known);
             let newer: Option<&Config> = newer.map(|active| &active.config);
             postcard::to_stdvec(&newer)
         }
         "/servers" => {
-            let has: Revision = postcard::from_bytes(body).ok()?;
+            let known: Revision = postcard::from_bytes(body).ok()?;
             let fleet = gateway.fleet.borrow();
-            let is_newer = fleet.directory().revision > has;
-            postcard::to_stdvec(&is_newer.then(|| fleet.changes_since(has)))
+            let is_newer = fleet.directory().revision > known;
+            postcard::to_stdvec(&is_newer.then(|| fleet.changes_since(known)))
         }
         "/quarantined" => {
             let now = gateway.clock.now();
             postcard::to_stdvec(
-                &gateway.suspects.borrow().quarantined_reports(QUARANTINED_SENT, now),
+                &gateway.suspects.borrow().quarantined_reports(QUARANTINES_MAX, now),
             )
         }
         "/group" => {
             let group: String = postcard::from_bytes(body).ok()?;
-            postcard::to_stdvec(&view(gateway, &group))
+            postcard::to_stdvec(&group_view(gateway, &group))
         }
         _ => return None,
     };
@@ -104,16 +104,16 @@
 }
 
 /// A group as far as its servers' sidecars have told of it.
-fn view(gateway: &Gateway, group: &str) -> GroupView {
+fn group_view(gateway: &Gateway, group: &str) -> GroupView {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
-    let of_group = fleet.loads(now).filter(|(_, _, told)| told.group.as_deref() == Some(group));
+    let of_group = fleet.loads(now).filter(|(_, _, report)| report.group.as_deref() == Some(group));
     let servers = of_group.map(|(server, ..)| (server.addr, server.hall.clone())).collect();
-    GroupView { servers, coordinator: lead(gateway, group) }
+    GroupView { servers, coordinator: coordinator(gateway, group) }
 }
 
 /// A group's coordinator, if one was heard of, with its age now.
-pub fn lead(gateway: &Gateway, group: &str) -> Option<CoordinatorSeen> {
+pub fn coordinator(gateway: &Gateway, group: &str) -> Option<CoordinatorSeen> {
     let leads = gateway.coordinators.borrow();
     let (seen, at) = leads.get(group)?;
     let age = gateway.clock.now().since(*at).as_millis();
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -6,7 +6,7 @@
     crash_probe::broke_off,
     final_answer::{BACK_FULL, end, log_outcome, no_server, quarantined, refuse},
     in_flight::Held,
-    lending,
+    permits,
     state::Gateway,
     stream::{self, Reply},
 };
@@ -219,7 +219,7 @@
     progress: &Progress,
 ) -> Result<Candidate, Refusal> {
     let room = if call.is_model() { MODEL_ROOM } else { PLAIN_ROOM };
-    lending::want(gateway, &call.service);
+    permits::add_demand(gateway, &call.service);
     loop {
         let news = gateway.server_changes.notified();
         let refusal = match gateway.choose(call.needs_first(&progress.tried, room)) {
@@ -240,7 +240,7 @@
             return Err(refusal);
         }
         if matches!(refusal, Some(Refusal::Limited(_))) {
-            lending::want(gateway, &call.service);
+            permits::add_demand(gateway, &call.service);
         }
         time::sleep(LOOK_AGAIN).await;
         // What is known of servers changes with what is heard of them and what ends here.
--- a/src/mastweir/gateway/eras.rs
+++ b/src/mastweir/gateway/generations.rs
@@ -4,7 +4,7 @@
 use slog::{Logger, info, warn};
 
 /// Says each time that the store came back from an older copy, and calls `changed`, for ever.
-pub async fn follow(store: Store, log: Logger, changed: impl Fn()) {
+pub async fn watch(store: Store, log: Logger, on_change: impl Fn()) {
     loop {
         let before = store.generation();
         store.later_generation(before).await;
@@ -13,7 +13,7 @@
         if before == 0 {
             info!(log, "store era known"; "now" => now);
         } else {
-            changed();
+            on_change();
             warn!(log, "store era changed"; "before" => before, "now" => now);
         }
     }
--- a/src/mastweir/gateway/limit_gossip.rs
+++ b/src/mastweir/gateway/limit_gossip.rs
@@ -6,12 +6,12 @@
 //! once, and does not learn each limit by breaking it.
 
 use super::{
-    lending,
     message::{LIMITS_PER_DATAGRAM, Message},
+    permits,
     relay::send_all,
     server_notices::log_limit_change,
     state::Gateway,
-    suspects::hearers,
+    suspect_gossip::recipients,
 };
 use mastweir_core::gateway::LimitUpdate;
 use std::{net::IpAddr, rc::Rc, time::Duration};
@@ -27,7 +27,7 @@
     let mut round = 0_u32;
     loop {
         if gateway.fleet.borrow().has_limits() {
-            lending::tend(&gateway);
+            permits::update_issuer(&gateway);
             send_updates(&gateway, &socket, round);
         }
         round = round.wrapping_add(1);
@@ -45,7 +45,7 @@
         told.extend(all.into_iter().skip(turn * LIMITS_PER_DATAGRAM).take(LIMITS_PER_DATAGRAM));
     }
     if !told.is_empty() {
-        send(gateway, socket, &hearers(gateway), &told);
+        send(gateway, socket, &recipients(gateway), &told);
     }
 }
 
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -1,7 +1,7 @@
 //! The gateway's listeners, its start and its stop.
 
 use super::{
-    eras, fetch, forward, peers,
+    fetch, forward, generations, peers,
     state::{Gateway, GatewayOptions},
     watch,
 };
@@ -58,7 +58,7 @@
     info!(gateway.log, "gateway started"; "callers" => %options.callers, "internal" => %own);
     let (closing, closed) = flag::channel(false);
     let counted = gateway.clone();
-    task::spawn_local(eras::follow(gateway.store.clone(), gateway.log.clone(), move || {
+    task::spawn_local(generations::watch(gateway.store.clone(), gateway.log.clone(), move || {
         counted.metrics.count("store_eras_total", "changed");
     }));
     task::spawn_local(watch::config(gateway.clone()));
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -8,11 +8,11 @@
 use super::{
     datagrams::send,
     fetch::fetch,
-    lending, limit_gossip,
+    limit_gossip,
     message::{DATAGRAM_MAX, Hello, Message},
-    quarantine, relay,
+    permits, quarantine, relay,
     state::Gateway,
-    suspects,
+    suspect_gossip,
 };
 use mastweir_core::gateway::{Lag, PeerInfo, PeerState, Versions};
 use slog::info;
@@ -20,18 +20,18 @@
 use tokio::{net::UdpSocket, task, time};
 
 /// Hellos go out this often: a change is in force that much later where it is fetched.
-const HELLO_EVERY: Duration = Duration::from_millis(250);
+const HELLO_INTERVAL: Duration = Duration::from_millis(250);
 /// And this often from one that knows no configuration yet, and refuses all requests.
-const HELLO_FIRST: Duration = Duration::from_millis(60);
+const STARTUP_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Talks to the others, for ever.
 pub async fn run(gateway: Rc<Gateway>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     task::spawn_local(send_hellos(gateway.clone(), socket.clone()));
-    task::spawn_local(relay::tell(gateway.clone(), socket.clone()));
-    task::spawn_local(suspects::tell(gateway.clone(), socket.clone()));
+    task::spawn_local(relay::run(gateway.clone(), socket.clone()));
+    task::spawn_local(suspect_gossip::run(gateway.clone(), socket.clone()));
     task::spawn_local(limit_gossip::run(gateway.clone(), socket.clone()));
-    task::spawn_local(lending::ask(gateway.clone(), socket.clone()));
+    task::spawn_local(permits::run(gateway.clone(), socket.clone()));
     let mut lag = Lag::default();
     let mut buffer = vec![0; DATAGRAM_MAX * 2];
     loop {
@@ -42,19 +42,17 @@
         };
         let (len, from) = received;
         match postcard::from_bytes(&buffer[..len]) {
-            Ok(Message::Hello(hello)) => heard(&gateway, &socket, hello, from, &mut lag),
-            Ok(Message::Report(report)) => relay::reported(&gateway, report),
-            Ok(Message::Loads(loads)) => relay::told(&gateway, loads),
+            Ok(Message::Hello(hello)) => handle_hello(&gateway, &socket, hello, from, &mut lag),
+            Ok(Message::Report(report)) => relay::handle_report(&gateway, report),
+            Ok(Message::Loads(loads)) => relay::handle_loads(&gateway, loads),
             Ok(Message::Forecast(pace)) => {
                 let from_sidecar = !gateway.gateways.borrow().contains(from);
-                relay::paced(&gateway, &socket, pace, from_sidecar);
+                relay::handle_forecast(&gateway, &socket, pace, from_sidecar);
             }
-            Ok(Message::Suspects(all)) => quarantine::told(&gateway, &all, &from.to_string()),
+            Ok(Message::Suspects(all)) => quarantine::merge(&gateway, &all, &from.to_string()),
             Ok(Message::Limits(all)) => limit_gossip::receive(&gateway, &all),
-            Ok(Message::RequestPermits(borrow)) => {
-                lending::borrowed(&gateway, &socket, borrow, from);
-            }
-            Ok(Message::GrantPermits(lent)) => lending::lent(&gateway, lent),
+            Ok(Message::RequestPermits(req)) => permits::answer(&gateway, &socket, req, from),
+            Ok(Message::GrantPermits(lent)) => permits::handle_grants(&gateway, lent),
             Ok(
                 Message::RelayHello(_) | Message::Poll(_) | Message::Rank(_) | Message::Subtree(_),
             )
@@ -65,7 +63,13 @@
     }
 }
 
-fn heard(gateway: &Rc<Gateway>, socket: &UdpSocket, hello: Hello, from: IpAddr, lag: &mut Lag) {
+fn handle_hello(
+    gateway: &Rc<Gateway>,
+    socket: &UdpSocket,
+    hello: Hello,
+    from: IpAddr,
+    lag: &mut Lag,
+) {
     let now = gateway.clock.now();
     let Hello {
         hall,
@@ -134,22 +138,22 @@
     let mut heard = 0;
     loop {
         let now = gateway.clock.now();
-        take_place(&gateway);
-        log_found(&gateway, &mut heard);
+        update_roles(&gateway);
+        log_new_peers(&gateway, &mut heard);
         let seeds = gateway.settings.borrow().seeds.clone();
-        let greeted = gateway.gateways.borrow_mut().hello_targets(round, &seeds, now);
+        let targets = gateway.gateways.borrow_mut().hello_targets(round, &seeds, now);
         if let Ok(bytes) = postcard::to_stdvec(&Message::Hello(own_hello(&gateway))) {
-            greeted.into_iter().for_each(|ip| {
+            targets.into_iter().for_each(|ip| {
                 send(&gateway, &socket, gateway.internal_addr(ip), &bytes);
             });
         }
         round = round.wrapping_add(1);
-        time::sleep(if gateway.version() > 0 { HELLO_EVERY } else { HELLO_FIRST }).await;
+        time::sleep(if gateway.version() > 0 { HELLO_INTERVAL } else { STARTUP_INTERVAL }).await;
     }
 }
 
 /// Speaks for the hall, and watches the store, or does not: by those that are heard.
-fn take_place(gateway: &Gateway) {
+fn update_roles(gateway: &Gateway) {
     let now = gateway.clock.now();
     for ip in gateway.gateways.borrow_mut().expire(now) {
         info!(gateway.log, "gateway lost"; "peer" => %ip);
@@ -176,7 +180,7 @@
 }
 
 /// One line for all gateways that were found since the last.
-fn log_found(gateway: &Gateway, before: &mut u32) {
+fn log_new_peers(gateway: &Gateway, before: &mut u32) {
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
     let heard = gateways.hall_size(now);
--- a/src/mastweir/gateway/loans.rs
+++ b/src/mastweir/gateway/permit_state.rs
@@ -6,22 +6,22 @@
 
 /// What a gateway borrows and lends.
 #[derive(Debug)]
-pub struct Lending {
+pub struct PermitState {
     /// Decides whom to ask.
-    pub borrower: RefCell<PermitRequester>,
+    pub requester: RefCell<PermitRequester>,
     /// Decides what to lend.
-    pub lender: RefCell<PermitIssuer>,
+    pub issuer: RefCell<PermitIssuer>,
     /// Requests came that want tokens.
-    pub wake: Notify,
+    pub demand_added: Notify,
 }
 
-impl Lending {
+impl PermitState {
     /// Of a gateway that has just started. `first` is drawn.
     pub fn new(own: IpAddr, first: u64) -> Self {
         Self {
-            borrower: RefCell::new(PermitRequester::new(own, first)),
-            lender: RefCell::default(),
-            wake: Notify::new(),
+            requester: RefCell::new(PermitRequester::new(own, first)),
+            issuer: RefCell::default(),
+            demand_added: Notify::new(),
         }
     }
 }
--- a/src/mastweir/gateway/lending.rs
+++ b/src/mastweir/gateway/permits.rs
@@ -18,18 +18,18 @@
 use tokio::{net::UdpSocket, time};
 
 /// Least time between two rounds of asking; requests that find no server wait for it.
-const ASK_EVERY: Duration = Duration::from_millis(25);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A request came for a service.
-pub fn want(gateway: &Gateway, service: &str) {
+pub fn add_demand(gateway: &Gateway, service: &str) {
     if gateway.fleet.borrow().has_limits() {
-        gateway.lending.borrower.borrow_mut().add_demand(service);
-        gateway.lending.wake.notify_one();
+        gateway.permits.requester.borrow_mut().add_demand(service);
+        gateway.permits.demand_added.notify_one();
     }
 }
 
 /// Chooses a server; where only limited ones could serve, waits for a token until a time.
-pub async fn choose_by(
+pub async fn choose_until(
     gateway: &Gateway,
     needs: Requirements<'_>,
     until: Uptime,
@@ -38,8 +38,8 @@
         let news = gateway.server_changes.notified();
         match gateway.choose(needs) {
             Err(Refusal::Limited(wait)) if gateway.clock.now() + wait < until => {
-                want(gateway, needs.service);
-                let _ = time::timeout(wait.max(ASK_EVERY), news).await;
+                add_demand(gateway, needs.service);
+                let _ = time::timeout(wait.max(REQUEST_INTERVAL), news).await;
             }
             chosen => return chosen,
         }
@@ -47,17 +47,17 @@
 }
 
 /// Asks for what is wanted, for ever.
-pub async fn ask(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
-        gateway.lending.wake.notified().await;
-        ask_once(&gateway, &socket);
-        time::sleep(ASK_EVERY).await;
+        gateway.permits.demand_added.notified().await;
+        send_requests(&gateway, &socket);
+        time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
-fn ask_once(gateway: &Gateway, socket: &UdpSocket) {
+fn send_requests(gateway: &Gateway, socket: &UdpSocket) {
     let now = gateway.clock.now();
-    let asks = gateway.lending.borrower.borrow_mut().next_requests(
+    let asks = gateway.permits.requester.borrow_mut().next_requests(
         &gateway.fleet.borrow(),
         &gateway.gateways.borrow(),
         gateway.stopping.get(),
@@ -67,8 +67,8 @@
     let own = gateway.settings.borrow().ip;
     for PermitRequest { issuer: lender, number, wanted: wants } in asks {
         if lender == own {
-            let loans = wants.into_iter().map(|(server, count)| lend(gateway, server, count, own));
-            lent(gateway, GrantPermits { number, grants: loans.collect() });
+            let loans = wants.into_iter().map(|(server, count)| grant(gateway, server, count, own));
+            handle_grants(gateway, GrantPermits { number, grants: loans.collect() });
             continue;
         }
         // What can't be encoded can't be sent; no message is of that kind.
@@ -82,24 +82,24 @@
 
 /// Takes up the servers for which this gateway lends, and leaves the others to others. One that
 /// is leaving lends nothing.
-pub fn tend(gateway: &Gateway) {
+pub fn update_issuer(gateway: &Gateway) {
     let now = gateway.clock.now();
     let (fleet, peers) = (gateway.fleet.borrow(), gateway.gateways.borrow());
     let lends =
         |server: &Server| !gateway.stopping.get() && peers.is_issuer(&server.id, &server.hall, now);
     let tended = fleet.limited().filter(|server| lends(server));
-    gateway.lending.lender.borrow_mut().set_servers(tended.map(|server| server.id.as_str()), now);
+    gateway.permits.issuer.borrow_mut().set_servers(tended.map(|server| server.id.as_str()), now);
 }
 
 /// Lends tokens for a server.
-fn lend(gateway: &Gateway, server: String, wanted: u32, to: IpAddr) -> ServerGrant {
+fn grant(gateway: &Gateway, server: String, wanted: u32, to: IpAddr) -> ServerGrant {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
     let hall = fleet.directory().servers.get(&server).map_or("", |server| server.hall.as_str());
     // One whose limit is not known here yet is lent for as little as possible.
     let per_s = fleet.limit(&server).map_or(0.0, |rate| rate.requests());
     let part = gateway.gateways.borrow().limit_share(hall, now);
-    let mut lender = gateway.lending.lender.borrow_mut();
+    let mut lender = gateway.permits.issuer.borrow_mut();
     let PermitGrant { count, wait } = lender.grant(&server, per_s * part, wanted, now);
     if count > 0 {
         gateway.metrics.count("tokens_total", "lent");
@@ -112,10 +112,10 @@
 }
 
 /// Another gateway asks.
-pub fn borrowed(gateway: &Gateway, socket: &UdpSocket, borrow: RequestPermits, from: IpAddr) {
-    let RequestPermits { number, wanted: wants } = borrow;
+pub fn answer(gateway: &Gateway, socket: &UdpSocket, request: RequestPermits, from: IpAddr) {
+    let RequestPermits { number, wanted: wants } = request;
     let loans =
-        wants.into_iter().map(|(server, count)| lend(gateway, server, count, from)).collect();
+        wants.into_iter().map(|(server, count)| grant(gateway, server, count, from)).collect();
     if let Ok(bytes) =
         postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, grants: loans }))
     {
@@ -124,16 +124,16 @@
 }
 
 /// The answer of one that was asked.
-pub fn lent(gateway: &Gateway, lent: GrantPermits) {
+pub fn handle_grants(gateway: &Gateway, lent: GrantPermits) {
     let now = gateway.clock.now();
-    let asked = gateway.lending.borrower.borrow_mut().accept_answer(lent.number, now);
+    let asked = gateway.permits.requester.borrow_mut().accept_answer(lent.number, now);
     match asked {
-        Some(asked) => take(gateway, lent.grants, asked),
+        Some(asked) => apply_grants(gateway, lent.grants, asked),
         None => gateway.metrics.count("tokens_total", "late"),
     }
 }
 
-fn take(gateway: &Gateway, loans: Vec<ServerGrant>, asked: Uptime) {
+fn apply_grants(gateway: &Gateway, loans: Vec<ServerGrant>, asked: Uptime) {
     let now = gateway.clock.now();
     let mut fleet = gateway.fleet.borrow_mut();
     for ServerGrant { server, count, wait_ms } in loans {
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -5,7 +5,7 @@
 //! into the store, and a gateway that starts reads what lies there, or asks another gateway.
 //! Until it has, or had time for it, it does not call itself ready.
 
-use super::{state::Gateway, unread::Noted};
+use super::{state::Gateway, unreadable::UnreadableLog};
 use crate::platform::{objects::ObjectList, quarantine::StoredQuarantine, store::StoreError};
 use mastweir_core::gateway::{Fingerprint, QUARANTINE_DURATION, SuspectReport};
 use rand::Rng;
@@ -14,25 +14,25 @@
 use tokio::{task, time};
 
 /// Who told of a request: this gateway's own looks, or the store.
-pub const OWN: &str = "own";
-const STORE: &str = "store";
+pub const FROM_PROBES: &str = "own";
+const FROM_STORE: &str = "store";
 /// Pauses between two calls that fail, doubled each time: the store may be away for long.
 const RETRY_FIRST: Duration = Duration::from_millis(500);
-const RETRY_LAST: Duration = Duration::from_secs(16);
+const RETRY_MAX: Duration = Duration::from_secs(16);
 /// Those who watch the store read it again within this time behind its return from a copy:
 /// six of them at three halls.
-const SPREAD: Duration = Duration::from_secs(1);
+const REREAD_SPREAD: Duration = Duration::from_secs(1);
 /// Requests that are written again at most; each is a call.
-const WRITTEN_MAX: usize = 256;
+const REWRITES_MAX: usize = 256;
 /// Tries to write: some three minutes. Gateways that live know it all the same.
-const WRITES_MAX: u32 = 15;
+const WRITE_ATTEMPTS: u32 = 15;
 
 /// Takes in what another gateway, or the store, tells.
-pub fn told(gateway: &Rc<Gateway>, all: &[SuspectReport], from: &str) {
+pub fn merge(gateway: &Rc<Gateway>, all: &[SuspectReport], from: &str) {
     let now = gateway.clock.now();
     for suspected in all {
         if gateway.suspects.borrow_mut().merge(suspected, now) {
-            begun(gateway, suspected.request, from);
+            start(gateway, suspected.request, from);
         }
     }
 }
@@ -40,11 +40,11 @@
 /// A request is quarantined from now on, by what `from` told. Who proved it writes it into the
 /// store; where two gateways proved one end each, neither did, so those who watch the store
 /// do, too.
-pub fn begun(gateway: &Rc<Gateway>, request: Fingerprint, from: &str) {
+pub fn start(gateway: &Rc<Gateway>, request: Fingerprint, from: &str) {
     gateway.metrics.count("requests_quarantined_total", "first");
     info!(gateway.log, "request quarantined"; "fingerprint" => %request, "from" => from);
-    let is_stored = from == STORE;
-    if !is_stored && (from == OWN || *gateway.is_watcher.borrow()) {
+    let is_stored = from == FROM_STORE;
+    if !is_stored && (from == FROM_PROBES || *gateway.is_watcher.borrow()) {
         task::spawn_local(write(gateway.clone(), request));
     }
 }
@@ -52,7 +52,7 @@
 /// Writes a request that is quarantined into the store.
 async fn write(gateway: Rc<Gateway>, request: Fingerprint) {
     let mut pause = RETRY_FIRST;
-    for _ in 0..WRITES_MAX {
+    for _ in 0..WRITE_ATTEMPTS {
         let suspected = gateway.suspects.borrow().report(request, gateway.clock.now());
         let Some(suspected) = suspected else { return };
         match gateway.store.write_quarantine(&suspected).await {
@@ -64,35 +64,35 @@
             }
         }
         time::sleep(pause).await;
-        pause = (pause * 2).min(RETRY_LAST);
+        pause = (pause * 2).min(RETRY_MAX);
     }
 }
 
 /// Reads what lies in the store, clears it of what has lapsed, and writes again what it has
 /// lost: once in the time that a quarantine lasts, and each time that the store came back
 /// from an older copy, for ever.
-pub async fn follow(gateway: &Rc<Gateway>) {
-    let noted = Noted::default();
+pub async fn sync(gateway: &Rc<Gateway>) {
+    let unreadable = UnreadableLog::default();
     let mut pause = RETRY_FIRST;
     loop {
         let era = gateway.store.generation();
         match gateway.store.quarantines().await {
             Ok(listed) => {
-                let stored = take(gateway, listed, &noted).await;
-                write_lost(gateway, &stored).await;
+                let stored = merge_stored(gateway, listed, &unreadable).await;
+                write_missing(gateway, &stored).await;
                 pause = QUARANTINE_DURATION;
             }
             Err(error) => {
                 gateway.metrics.count("store_errors_total", "quarantine");
                 warn!(gateway.log, "quarantine not read"; "error" => %error);
-                pause = (pause * 2).min(RETRY_LAST);
+                pause = (pause * 2).min(RETRY_MAX);
             }
         }
         tokio::select! {
             () = time::sleep(pause) => (),
             () = gateway.store.later_generation(era) => {
                 // One of those who watch comes first, and the others find what it wrote.
-                let spread = gateway.rng.borrow_mut().random_range(Duration::ZERO..SPREAD);
+                let spread = gateway.rng.borrow_mut().random_range(Duration::ZERO..REREAD_SPREAD);
                 time::sleep(spread).await;
             }
         }
@@ -100,8 +100,8 @@
 }
 
 /// Writes what is quarantined here and does not lie in the store.
-async fn write_lost(gateway: &Rc<Gateway>, stored: &[Fingerprint]) {
-    let known = gateway.suspects.borrow().quarantined_reports(WRITTEN_MAX, gateway.clock.now());
+async fn write_missing(gateway: &Rc<Gateway>, stored: &[Fingerprint]) {
+    let known = gateway.suspects.borrow().quarantined_reports(REWRITES_MAX, gateway.clock.now());
     let lost = known.iter().map(|known| known.request).filter(|known| !stored.contains(known));
     for request in lost {
         write(gateway.clone(), request).await;
@@ -109,23 +109,23 @@
 }
 
 /// Takes in what lies in the store; gives the requests that it names.
-async fn take(
+async fn merge_stored(
     gateway: &Rc<Gateway>,
     listed: ObjectList<StoredQuarantine>,
-    noted: &Noted,
+    unreadable: &UnreadableLog,
 ) -> Vec<Fingerprint> {
-    listed.unreadable.iter().for_each(|unread| noted.note(gateway, "quarantine", unread));
-    let (lapsed, young): (Vec<StoredQuarantine>, Vec<StoredQuarantine>) =
+    listed.unreadable.iter().for_each(|obj| unreadable.log(gateway, "quarantine", obj));
+    let (expired, active): (Vec<StoredQuarantine>, Vec<StoredQuarantine>) =
         listed.items.into_iter().partition(|stored| stored.report.is_expired());
-    if !young.is_empty() {
-        info!(gateway.log, "quarantine read"; "requests" => young.len(), "lapsed" => lapsed.len(),
+    if !active.is_empty() {
+        info!(gateway.log, "quarantine read"; "requests" => active.len(), "lapsed" => expired.len(),
             "revision" => %listed.revision);
     }
-    let suspected: Vec<SuspectReport> = young.into_iter().map(|stored| stored.report).collect();
-    told(gateway, &suspected, STORE);
+    let suspected: Vec<SuspectReport> = active.into_iter().map(|stored| stored.report).collect();
+    merge(gateway, &suspected, FROM_STORE);
     gateway.has_quarantines.set(true);
     let requests = suspected.iter().map(|suspected| suspected.request).collect();
-    for stored in lapsed {
+    for stored in expired {
         // One that another gateway has cleared or written again is none of ours.
         if let Err(error) = gateway.store.delete_quarantine(&stored).await {
             let request = stored.report.request;
--- a/src/mastweir/gateway/relay.rs
+++ b/src/mastweir/gateway/relay.rs
@@ -30,29 +30,29 @@
 
 /// What is known of servers is told on this often: with the sidecars' own 0.1 s it is
 /// 0.4 s old at most, well below what counts as silence.
-const TELL_EVERY: Duration = Duration::from_millis(150);
+const SEND_INTERVAL: Duration = Duration::from_millis(150);
 /// Rounds of that between two greetings to a sidecar: one that is lost is made up for
 /// five times before it stops to report.
-const GREETING_ROUNDS: u32 = 3;
+const ANNOUNCE_ROUNDS: u32 = 3;
 /// Coordinators named in one datagram, those heard last first.
-const LEADS_SENT: usize = 16;
+const COORDINATORS_PER_DATAGRAM: usize = 16;
 /// A coordinator that was not heard of for this long is not told of.
-const LEAD_LASTS: Duration = Duration::from_secs(5);
+const COORDINATOR_LIFETIME: Duration = Duration::from_secs(5);
 
 /// Tells others, for ever, while this gateway speaks for its hall or is followed.
-pub async fn tell(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut round = 0_u32;
     loop {
         round = round.wrapping_add(1);
-        tell_once(&gateway, &socket);
-        if gateway.is_relay.get() && round.is_multiple_of(GREETING_ROUNDS) {
-            greet(&gateway, &socket);
+        send_loads(&gateway, &socket);
+        if gateway.is_relay.get() && round.is_multiple_of(ANNOUNCE_ROUNDS) {
+            announce(&gateway, &socket);
         }
-        time::sleep(TELL_EVERY).await;
+        time::sleep(SEND_INTERVAL).await;
     }
 }
 
-fn tell_once(gateway: &Gateway, socket: &UdpSocket) {
+fn send_loads(gateway: &Gateway, socket: &UdpSocket) {
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
     let followers: Vec<IpAddr> = gateways.followers().collect();
@@ -60,10 +60,10 @@
     drop(gateways);
     let hall = gateway.settings.borrow().hall.clone();
     if !followers.is_empty() {
-        send_all(gateway, socket, &followers, &messages(gateway, |_| true));
+        send_all(gateway, socket, &followers, &load_messages(gateway, |_| true));
     }
     if !far.is_empty() {
-        send_all(gateway, socket, &far, &messages(gateway, |server| server.hall == hall));
+        send_all(gateway, socket, &far, &load_messages(gateway, |server| server.hall == hall));
     }
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// Loads of the servers that fit, as the bytes of datagrams.
-fn messages(gateway: &Gateway, fits: impl Fn(&Server) -> bool) -> Vec<Vec<u8>> {
+fn load_messages(gateway: &Gateway, fits: impl Fn(&Server) -> bool) -> Vec<Vec<u8>> {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
     let fitting: Vec<(SocketAddr, Duration, &LoadReport)> = fleet
@@ -84,8 +84,8 @@
         .filter(|(server, ..)| fits(server))
         .map(|(server, age, told)| (server.addr, age, told))
         .collect();
-    let mut leads = leads(gateway, now);
-    let mut chunks: Vec<Loads> = fitting.chunks(LOADS_PER_DATAGRAM).map(chunk).collect();
+    let mut leads = recent_coordinators(gateway, now);
+    let mut chunks: Vec<Loads> = fitting.chunks(LOADS_PER_DATAGRAM).map(loads_message).collect();
     if chunks.is_empty() {
         chunks.push(Loads::default());
     }
@@ -97,7 +97,7 @@
     bytes.collect()
 }
 
-fn chunk(loads: &[(SocketAddr, Duration, &LoadReport)]) -> Loads {
+fn loads_message(loads: &[(SocketAddr, Duration, &LoadReport)]) -> Loads {
     let mut groups: Vec<String> = Vec::new();
     let load = |(server, age, told): &(SocketAddr, Duration, &LoadReport)| {
         let group = told.group.as_ref().and_then(|name| {
@@ -120,18 +120,18 @@
     Loads { groups, loads, coordinators: Vec::new() }
 }
 
-fn leads(gateway: &Gateway, now: Uptime) -> Vec<CoordinatorSeen> {
-    gateway.coordinators.borrow_mut().retain(|_, (_, at)| now.since(*at) < LEAD_LASTS);
+fn recent_coordinators(gateway: &Gateway, now: Uptime) -> Vec<CoordinatorSeen> {
+    gateway.coordinators.borrow_mut().retain(|_, (_, at)| now.since(*at) < COORDINATOR_LIFETIME);
     let names: Vec<String> = gateway.coordinators.borrow().keys().cloned().collect();
     let mut leads: Vec<CoordinatorSeen> =
-        names.iter().filter_map(|group| fetch::lead(gateway, group)).collect();
+        names.iter().filter_map(|group| fetch::coordinator(gateway, group)).collect();
     leads.sort_by_key(|lead| lead.age_ms);
-    leads.truncate(LEADS_SENT);
+    leads.truncate(COORDINATORS_PER_DATAGRAM);
     leads
 }
 
 /// Greets the sidecars of the hall, and those of halls with too few speakers of their own.
-fn greet(gateway: &Gateway, socket: &UdpSocket) {
+fn announce(gateway: &Gateway, socket: &UdpSocket) {
     let now = gateway.clock.now();
     let Some(active) = gateway.active() else { return };
     let fleet = gateway.fleet.borrow();
@@ -147,7 +147,7 @@
             continue;
         }
         let group = fleet.last_report(&server.id).and_then(|told| told.group.clone());
-        let lead = group.and_then(|group| fetch::lead(gateway, &group));
+        let lead = group.and_then(|group| fetch::coordinator(gateway, &group));
         let greeting = Message::RelayHello(RelayHello { model: Some(model), coordinator: lead });
         let Ok(bytes) = postcard::to_stdvec(&greeting) else { continue };
         send(gateway, socket, gateway.internal_addr(server.addr.ip()), &bytes);
@@ -155,32 +155,32 @@
 }
 
 /// Takes a sidecar's report in.
-pub fn reported(gateway: &Gateway, report: ServerReport) {
+pub fn handle_report(gateway: &Gateway, report: ServerReport) {
     let now = gateway.clock.now();
-    report.coordinator.into_iter().for_each(|lead| heard_of(gateway, lead, now));
+    report.coordinator.into_iter().for_each(|lead| record_coordinator(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
     let Some(id) = fleet.id_at(report.server).map(str::to_owned) else { return };
-    log_news(gateway, &id, fleet.record_report(&id, report.load, now), "sidecar");
+    log_changes(gateway, &id, fleet.record_report(&id, report.load, now), "sidecar");
     gateway.server_changes.notify_waiters();
 }
 
 /// Takes in what another gateway tells of servers.
-pub fn told(gateway: &Gateway, loads: Loads) {
+pub fn handle_loads(gateway: &Gateway, loads: Loads) {
     let now = gateway.clock.now();
     let Loads { groups, loads, coordinators: leads } = loads;
-    leads.into_iter().for_each(|lead| heard_of(gateway, lead, now));
+    leads.into_iter().for_each(|lead| record_coordinator(gateway, lead, now));
     let mut fleet = gateway.fleet.borrow_mut();
     for ServerLoad { server, age_ms, group, load: told } in loads {
         let Some(id) = fleet.id_at(server).map(str::to_owned) else { continue };
         let group = group.and_then(|at| groups.get(usize::from(at)).cloned());
         let age = Duration::from_millis(u64::from(age_ms));
         let news = fleet.record_forwarded(&id, LoadReport { group, ..told }, age, now);
-        log_news(gateway, &id, news, "gateway");
+        log_changes(gateway, &id, news, "gateway");
     }
     gateway.server_changes.notify_waiters();
 }
 
-fn log_news(gateway: &Gateway, id: &str, news: ReportChanges, from: &'static str) {
+fn log_changes(gateway: &Gateway, id: &str, news: ReportChanges, from: &'static str) {
     if news.leaving {
         log_leaving(gateway, id, from);
     }
@@ -190,7 +190,7 @@
 }
 
 /// Keeps the coordinator with the highest token, and when its last poll was heard of.
-fn heard_of(gateway: &Gateway, lead: CoordinatorSeen, now: Uptime) {
+fn record_coordinator(gateway: &Gateway, lead: CoordinatorSeen, now: Uptime) {
     let at = now - Duration::from_millis(u64::from(lead.age_ms));
     let mut leads = gateway.coordinators.borrow_mut();
     let known = leads.get(&lead.group).map(|(known, _)| (known.token, known.round));
@@ -204,7 +204,12 @@
 /// one word went round among speakers that were leaving and those that took their place,
 /// more often each time: a gateway with a link of 40 Mbit/s opened no connection for three
 /// seconds (83 tries, a simulated day).
-pub fn paced(gateway: &Gateway, socket: &UdpSocket, pace: PassForecast, from_sidecar: bool) {
+pub fn handle_forecast(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    pace: PassForecast,
+    from_sidecar: bool,
+) {
     let now = gateway.clock.now();
     let PassForecast { group, sequence: word, pass_ms } = &pace;
     if !gateway.fleet.borrow_mut().record_forecast(group, *word, *pass_ms, now) {
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows, shared by its tasks on one thread.
 
 use super::{
-    loans::Lending, log_once::Unread, message::CoordinatorSeen, pending_probes::Looks,
+    log_once::Unread, message::CoordinatorSeen, pending_probes::Looks, permit_state::PermitState,
     settings::Settings,
 };
 use crate::{
@@ -112,7 +112,7 @@
     /// Servers whose limit can't be read.
     pub invalid_limits: Unread,
     /// Tokens for servers that name a limit.
-    pub lending: Lending,
+    pub permits: PermitState,
     /// How long callers wait.
     pub retry_detector: RefCell<RetryDetector>,
     /// Requests that are held.
@@ -156,7 +156,7 @@
             peer_config: Cell::new(None),
             pending_probes: Looks::default(),
             invalid_limits: Unread::default(),
-            lending: Lending::new(settings.ip, first),
+            permits: PermitState::new(settings.ip, first),
             retry_detector: RefCell::default(),
             in_flight: Cell::new(0),
             connections: Cell::new(0),
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -5,7 +5,7 @@
     call::{Call, Progress},
     crash_probe::broke_off,
     in_flight::Held,
-    lending::choose_by,
+    permits::choose_until,
     state::Gateway,
 };
 use crate::{net::http::Exchange, platform::headers};
@@ -239,7 +239,7 @@
             let tried = &self.progress.tried;
             let until = self.gateway.clock.now() + RESUME_WAITS.min(self.call.left());
             let needs = self.call.needs(tried, RESUME_ROOM);
-            let Ok(server) = choose_by(&self.gateway, needs, until).await else { return false };
+            let Ok(server) = choose_until(&self.gateway, needs, until).await else { return false };
             let last = self.events.last_id().map(str::to_owned);
             let got =
                 attempt(&self.gateway, &self.call, server, last.as_deref(), &mut self.progress);
--- a/src/mastweir/gateway/suspects.rs
+++ b/src/mastweir/gateway/suspect_gossip.rs
@@ -14,24 +14,24 @@
 use tokio::{net::UdpSocket, time};
 
 /// News is told on this often: through two speakers all gateways have it within 0.5 s.
-const TELL_EVERY: Duration = Duration::from_millis(150);
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
 /// Rounds of that between two times that a speaker tells what is quarantined: a gateway that
 /// has just started knows it 1.5 s later.
-const QUARANTINED_ROUNDS: u32 = 10;
+const REPEAT_ROUNDS: u32 = 10;
 
 /// Tells others, for ever.
-pub async fn tell(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
+pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut round = 0_u32;
     loop {
         round = round.wrapping_add(1);
         if !gateway.suspects.borrow().is_empty() {
-            tell_once(&gateway, &socket, round.is_multiple_of(QUARANTINED_ROUNDS));
+            send_reports(&gateway, &socket, round.is_multiple_of(REPEAT_ROUNDS));
         }
-        time::sleep(TELL_EVERY).await;
+        time::sleep(GOSSIP_INTERVAL).await;
     }
 }
 
-fn tell_once(gateway: &Gateway, socket: &UdpSocket, with_quarantined: bool) {
+fn send_reports(gateway: &Gateway, socket: &UdpSocket, with_quarantined: bool) {
     let now = gateway.clock.now();
     let suspects = gateway.suspects.borrow();
     let mut told = suspects.recent_reports(now);
@@ -47,21 +47,21 @@
         // What can't be encoded can't be told; no message is of that kind.
         .filter_map(|chunk| postcard::to_stdvec(&Message::Suspects(chunk.to_vec())).ok())
         .collect();
-    send_all(gateway, socket, &hearers(gateway), &messages);
+    send_all(gateway, socket, &recipients(gateway), &messages);
 }
 
 /// The speakers of the hall, and, of one of them, its followers and the other halls' speakers.
-pub fn hearers(gateway: &Gateway) -> Vec<IpAddr> {
+pub fn recipients(gateway: &Gateway) -> Vec<IpAddr> {
     let now = gateway.clock.now();
     let settings = gateway.settings.borrow();
     let gateways = gateway.gateways.borrow();
-    let mut hearers = gateways.relays(&settings.hall, now);
+    let mut recipients = gateways.relays(&settings.hall, now);
     if gateway.is_relay.get() {
-        hearers.extend(gateways.followers());
-        hearers.extend(gateways.remote_relays(now));
+        recipients.extend(gateways.followers());
+        recipients.extend(gateways.remote_relays(now));
     }
-    hearers.sort_unstable();
-    hearers.dedup();
-    hearers.retain(|ip| *ip != settings.ip);
-    hearers
+    recipients.sort_unstable();
+    recipients.dedup();
+    recipients.retain(|ip| *ip != settings.ip);
+    recipients
 }
--- a/src/mastweir/sidecar/mod.rs
+++ b/src/mastweir/sidecar/mod.rs
@@ -22,7 +22,7 @@
 mod state;
 
 use crate::{
-    gateway::{eras, settings::Settings},
+    gateway::{generations, settings::Settings},
     net::internal,
 };
 use eyre::WrapErr;
@@ -59,7 +59,7 @@
     task::spawn_local(server_watch::receive_datagrams(sidecar.clone()));
     task::spawn_local(server_watch::watch_server(sidecar.clone()));
     task::spawn_local(election::elect(sidecar.clone()));
-    task::spawn_local(eras::follow(sidecar.store.clone(), sidecar.log.clone(), || ()));
+    task::spawn_local(generations::watch(sidecar.store.clone(), sidecar.log.clone(), || ()));
     let answering = sidecar.clone();
     task::spawn_local(internal::serve(listener, move |path, body| {
         let sidecar = answering.clone();
