--- a/crates/mastweir-test-support/src/fleet.rs
+++ b/crates/mastweir-test-support/src/fleet.rs
@@ -120,8 +120,8 @@
             name: name.to_owned(),
             hall: hall.to_owned(),
             secret: SECRET.parse()?,
-            platform: self.served.url(),
-            token: String::new(),
+            objects_url: self.served.url(),
+            api_token: String::new(),
             statsd: None,
             log: log::make(Format::Off, slog_level()),
         })
--- a/src/mastweir/agent/engine.rs
+++ b/src/mastweir/agent/engine.rs
@@ -107,7 +107,7 @@
         Err(error) if error.is_connect() => return End::Refused(Refusal::EngineUnreachable),
         Err(_) => return End::Broken,
     };
-    if let Some(wait) = http::backs_off(response.status(), response.headers()) {
+    if let Some(wait) = http::retry_after(response.status(), response.headers()) {
         backs_off(wait);
     }
     let content = response.headers().get(header::CONTENT_TYPE);
--- a/src/mastweir/agent/ranks.rs
+++ b/src/mastweir/agent/ranks.rs
@@ -7,7 +7,7 @@
 //! the lease, where the epoch lasts.
 
 use super::Shared;
-use crate::objects::{Collection, GroupSpec, PlatformError};
+use crate::objects::{Collection, GroupSpec, ObjectError};
 use mastweir_core::switch::{LeaseRecord, RankOrder, RankReply};
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::Mutex, time};
@@ -36,10 +36,10 @@
     let Some(group) = &shared.ranks.group else { return };
     let name = LeaseRecord::name_of(&group.name);
     loop {
-        let read = shared.context.platform.get::<LeaseRecord>(Collection::Leases, &name).await;
+        let read = shared.context.objects.get::<LeaseRecord>(Collection::Leases, &name).await;
         let epoch = match read {
             Ok(object) => object.spec.epoch,
-            Err(PlatformError::NotFound(_)) => 0,
+            Err(ObjectError::NotFound(_)) => 0,
             Err(_) => {
                 time::sleep(LEARN_RETRY).await;
                 continue;
--- a/src/mastweir/context.rs
+++ b/src/mastweir/context.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     net::Secret,
-    objects::Platform,
+    objects::ObjectClient,
     util::{clock::Clock, metrics::Metrics},
 };
 use mastweir_core::id::{Fence, Incarnation};
@@ -19,9 +19,9 @@
     /// Secret shared by the fleet's processes.
     pub secret: Secret,
     /// Base address of the object API.
-    pub platform: String,
+    pub objects_url: String,
     /// Bearer token for it.
-    pub token: String,
+    pub api_token: String,
     /// Where statsd metrics go, if anywhere.
     pub statsd: Option<std::net::SocketAddr>,
     /// The log.
@@ -42,7 +42,7 @@
     /// Clock of this process.
     pub clock: Clock,
     /// Object API.
-    pub platform: Platform,
+    pub objects: ObjectClient,
     /// Metrics.
     pub metrics: Metrics,
     /// Log.
@@ -56,7 +56,7 @@
     ///
     /// The client of the object API, or the metrics' socket, can't be made.
     pub fn new(options: &ContextOptions) -> eyre::Result<Self> {
-        let platform = Platform::new(&options.platform, &options.token)?;
+        let objects = ObjectClient::new(&options.objects_url, &options.api_token)?;
         let log = options.log.new(slog::o!("instance" => options.name.clone()));
         Ok(Self {
             name: options.name.clone(),
@@ -64,7 +64,7 @@
             incarnation: draw_incarnation(),
             secret: options.secret.clone(),
             clock: Clock::start(),
-            platform,
+            objects,
             metrics: Metrics::new(options.statsd)?,
             log,
         })
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -1,7 +1,7 @@
 //! Who is there: the instance list, heartbeats and reports.
 
 use super::{Shared, heartbeat, lock, table, usage};
-use crate::objects::{Collection, InstanceSpec, InstanceState, WatchEvent, outage};
+use crate::objects::{Collection, InstanceSpec, InstanceState, WatchEvent, wait_for_outage};
 use futures_util::StreamExt;
 use mastweir_core::{gateway::SuspectReport, member::Heartbeat, wire::Packet};
 use rand::Rng;
@@ -76,7 +76,7 @@
 }
 
 async fn watch_once(shared: &Arc<Shared>) -> eyre::Result<()> {
-    let platform = &shared.context.platform;
+    let platform = &shared.context.objects;
     let list = platform.list::<InstanceSpec>(Collection::Instances).await?;
     let version = list.metadata.resource_version.parse().unwrap_or(0);
     let items = list.items.into_iter();
@@ -86,7 +86,7 @@
     lock(&shared.view).set_instances(instances);
     subscribe(shared).await;
     let events = platform.watch::<InstanceSpec>(Collection::Instances, version).await?;
-    let outage = outage(platform, Collection::Instances, PROBE_EVERY, &shared.context.log);
+    let outage = wait_for_outage(platform, Collection::Instances, PROBE_EVERY, &shared.context.log);
     let mut events = pin!(events.take_until(outage));
     while let Some(event) = events.next().await {
         match event? {
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -6,7 +6,7 @@
 //! the platform no lease is taken or renewed, and groups go on as they are.
 
 use super::{Shared, decisions::Decision, lock, status::GroupStatus};
-use crate::objects::{Collection, InstanceRole, Object, PlatformError};
+use crate::objects::{Collection, InstanceRole, Object, ObjectError};
 use mastweir_core::{
     switch::{
         Coordinator, Lease, LeasePlan, LeaseRecord, MapVersion, Progress, RankOrder, RankReply,
@@ -135,12 +135,12 @@
     }
 
     /// Reads the lease and writes it, if it is ours to write.
-    async fn renew(&mut self) -> Result<(), PlatformError> {
+    async fn renew(&mut self) -> Result<(), ObjectError> {
         let context = &self.shared.context;
         let name = LeaseRecord::name_of(&self.group);
-        let read = match context.platform.get::<LeaseRecord>(Collection::Leases, &name).await {
+        let read = match context.objects.get::<LeaseRecord>(Collection::Leases, &name).await {
             Ok(object) => Some(object),
-            Err(PlatformError::NotFound(_)) => None,
+            Err(ObjectError::NotFound(_)) => None,
             Err(error) => return Err(error),
         };
         let sent = context.clock.now();
@@ -154,15 +154,15 @@
         let operation = format!("{:x}", rand::rng().random::<u64>());
         let mut object = Object::new(&name, &context.name, &operation, record.clone());
         let written = match read {
-            None => context.platform.create(Collection::Leases, &object).await,
+            None => context.objects.create(Collection::Leases, &object).await,
             Some(read) => {
                 object.metadata = read.metadata;
-                context.platform.update(Collection::Leases, &object).await
+                context.objects.update(Collection::Leases, &object).await
             }
         };
         match written {
             Ok(_) => self.lease.mark_written(&record, sent),
-            Err(PlatformError::Conflict(_) | PlatformError::Exists(_)) => self.lease.mark_lost(),
+            Err(ObjectError::Conflict(_) | ObjectError::Exists(_)) => self.lease.mark_lost(),
             // It may have landed: the next look tells, by the operation's record.
             Err(error) => return Err(error),
         }
--- a/src/mastweir/entry/keys.rs
+++ b/src/mastweir/entry/keys.rs
@@ -8,7 +8,7 @@
 use super::{
     Shared, lock, parsed_request::ParsedRequest, problem::ProblemKind, view::ChosenServer,
 };
-use crate::objects::{Collection, KeySpec, Object, PlatformError};
+use crate::objects::{Collection, KeySpec, Object, ObjectError};
 use mastweir_core::{
     id::OpId,
     outcome::{Binding, Ticket},
@@ -79,7 +79,7 @@
         service: service.to_owned(),
         bindings,
     };
-    Ok(ticket.to_text(&shared.context.secret.derive(TICKET_PURPOSE)))
+    Ok(ticket.to_text(&shared.context.secret.derive_key(TICKET_PURPOSE)))
 }
 
 /// After all places of a plain key refused for good: binds it to new ones. Only
@@ -98,9 +98,9 @@
     object.spec.bindings.clone_from(&bindings);
     object.written.operation = random_op().to_string();
     let op = OpId::from_key(&request.customer, request.key.as_deref().unwrap_or_default());
-    match shared.context.platform.update(Collection::Keys, &object).await {
+    match shared.context.objects.update(Collection::Keys, &object).await {
         Ok(_) => Ok(BoundOperation { op, bindings, exclusive: false, chosen, existing: None }),
-        Err(PlatformError::Conflict(_)) => {
+        Err(ObjectError::Conflict(_)) => {
             let object = read_key(shared, &object.metadata.name).await?;
             let bindings = object.spec.bindings;
             Ok(BoundOperation { op, bindings, exclusive: false, chosen: None, existing: None })
@@ -114,7 +114,7 @@
     request: &ParsedRequest,
     text: &str,
 ) -> Result<BoundOperation, ProblemKind> {
-    let secret = shared.context.secret.derive(TICKET_PURPOSE);
+    let secret = shared.context.secret.derive_key(TICKET_PURPOSE);
     let ticket = Ticket::from_text(text, &secret, &request.customer, &request.service_name);
     let ticket = ticket.map_err(|_| ProblemKind::BadTicket)?;
     let Ticket { op, bindings, .. } = ticket;
@@ -132,10 +132,10 @@
     let spec = KeySpec { service: request.service_name.clone(), bindings };
     let written = random_op().to_string();
     let object = Object::new(&name, &shared.context.name, &written, spec);
-    match shared.context.platform.create(Collection::Keys, &object).await {
+    match shared.context.objects.create(Collection::Keys, &object).await {
         Ok(object) => Ok(from_created(op, object, chosen)),
-        Err(PlatformError::Exists(_)) => from_existing(shared, op, &name).await,
-        Err(error) if error.may_have_landed() => {
+        Err(ObjectError::Exists(_)) => from_existing(shared, op, &name).await,
+        Err(error) if error.is_outcome_unknown() => {
             let object = read_key(shared, &name).await?;
             // The reply was lost: whose write landed stands in the object.
             if object.written.operation == written {
@@ -162,7 +162,7 @@
 }
 
 async fn read_key(shared: &Shared, name: &str) -> Result<Object<KeySpec>, ProblemKind> {
-    let read = shared.context.platform.get(Collection::Keys, name).await;
+    let read = shared.context.objects.get(Collection::Keys, name).await;
     read.map_err(|_| ProblemKind::KeyUnknown)
 }
 
--- a/src/mastweir/entry/mod.rs
+++ b/src/mastweir/entry/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::{
     Context,
-    net::{Pool, Socket, Traffic},
+    net::{ChannelPool, Socket, Traffic},
 };
 use mastweir_core::{
     gateway::PoisonRequests, member::Members, route::RetryBudget, switch::MapVersion, table::Table,
@@ -93,7 +93,7 @@
 pub(crate) struct Shared {
     context: Context,
     options: EntryOptions,
-    pool: Pool,
+    pool: ChannelPool,
     socket: Socket,
     table: Mutex<Table>,
     active_rows: table::ActiveRows,
@@ -157,7 +157,7 @@
 
     /// Calls made to the object API so far.
     pub fn platform_calls(&self) -> u64 {
-        self.shared.context.platform.calls()
+        self.shared.context.objects.calls()
     }
 
     /// Datagrams of its control traffic so far.
@@ -201,7 +201,7 @@
             None => StdRng::from_os_rng(),
         };
         Self {
-            pool: Pool::new(context.secret.clone()),
+            pool: ChannelPool::new(context.secret.clone()),
             socket,
             table: Mutex::default(),
             active_rows: table::ActiveRows::default(),
--- a/src/mastweir/entry/status.rs
+++ b/src/mastweir/entry/status.rs
@@ -116,7 +116,7 @@
         servers,
         shares,
         groups,
-        platform_calls: shared.context.platform.calls(),
+        platform_calls: shared.context.objects.calls(),
         traffic: shared.socket.traffic(),
     }
 }
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -8,7 +8,7 @@
 use super::{Shared, heartbeat, lock};
 use crate::{
     net::{Channel, ChannelError},
-    objects::{Collection, InstanceRole, Object, WatchEvent, outage},
+    objects::{Collection, InstanceRole, Object, WatchEvent, wait_for_outage},
 };
 use futures_util::StreamExt;
 use mastweir_core::{
@@ -154,7 +154,7 @@
 }
 
 async fn watch_once(shared: &Arc<Shared>) -> eyre::Result<()> {
-    let platform = &shared.context.platform;
+    let platform = &shared.context.objects;
     let list = platform.list::<serde_json::Value>(Collection::Rows).await?;
     let upto = list.metadata.resource_version.parse().unwrap_or(0);
     let rows =
@@ -162,7 +162,7 @@
     merge(shared, &Delta { after: 0, upto, rows });
     // The list may be stale: watch from where it ends, not from what is held.
     let events = platform.watch::<serde_json::Value>(Collection::Rows, upto).await?;
-    let outage = outage(platform, Collection::Rows, PROBE_EVERY, &shared.context.log);
+    let outage = wait_for_outage(platform, Collection::Rows, PROBE_EVERY, &shared.context.log);
     let mut events = pin!(events.take_until(outage));
     while let Some(event) = events.next().await {
         let change = match event? {
--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -7,7 +7,7 @@
     state::Gateway,
 };
 use crate::{
-    net::http::{CallError, Exchange},
+    net::http::{CallError, Connection},
     platform::headers::{self, AddedHeaders, AnswerHead, QueuePriority},
 };
 use http_body_util::Full;
@@ -38,7 +38,7 @@
     /// Its body.
     pub body: Incoming,
     /// The connection.
-    pub exchange: Exchange,
+    pub exchange: Connection,
     /// Its place at the server.
     pub place: Place,
 }
@@ -98,7 +98,7 @@
     })?;
     // The server may have said so, or named its limit, while the connection opened.
     if !gateway.fleet.borrow_mut().may_send(id, lent, gateway.clock.now()) {
-        gateway.server_pool.give_back(exchange, None);
+        gateway.server_pool.release(exchange, None);
         return Err(AttemptResult::NotRun(Proof::NeverSent));
     }
     let added = AddedHeaders {
--- a/src/mastweir/gateway/crash_probe.rs
+++ b/src/mastweir/gateway/crash_probe.rs
@@ -7,7 +7,7 @@
 //! away when it has too many.
 
 use super::{call::Call, quarantine, state::Gateway};
-use crate::net::http::Exchange;
+use crate::net::http::Connection;
 use mastweir_core::gateway::{Candidate, Fingerprint};
 use slog::info;
 use std::{rc::Rc, time::Duration};
@@ -61,12 +61,12 @@
         time::sleep(LOOK_AGAIN).await;
     }
     if let Some(open) = open {
-        gateway.server_pool.give_back(open, None);
+        gateway.server_pool.release(open, None);
     }
     conclude(&gateway, &server, ended);
 }
 
-async fn look(gateway: &Gateway, server: &Candidate, open: &mut Option<Exchange>) -> Look {
+async fn look(gateway: &Gateway, server: &Candidate, open: &mut Option<Connection>) -> Look {
     if open.as_ref().is_some_and(|open| !open.is_closed()) {
         return Look::Opened;
     }
--- a/src/mastweir/gateway/follow.rs
+++ b/src/mastweir/gateway/follow.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     platform::{objects::Changes, store::StoreError},
-    util::tally::Tally,
+    util::prometheus::MetricsRegistry,
 };
 use mastweir_core::{
     gateway::{Liveness, ProbeResult, WatchFailure},
@@ -83,7 +83,7 @@
 struct Link<'a> {
     kind: &'static str,
     log: &'a Logger,
-    tally: &'a Tally,
+    tally: &'a MetricsRegistry,
     /// When it answered last, to a watch, a list or a probe. Not by the clock that counts
     /// suspensions: while this machine was suspended the store was not away.
     answered: Cell<Instant>,
@@ -162,7 +162,12 @@
 /// Follows a kind of object, for ever. `outages` is shared by all that follow the same
 /// store: one that notices an outage tells the others, whose probes may have gone
 /// round it on other connections.
-pub async fn follow<S: Source>(source: &S, outages: &Notify, log: &Logger, tally: &Tally) {
+pub async fn follow<S: Source>(
+    source: &S,
+    outages: &Notify,
+    log: &Logger,
+    tally: &MetricsRegistry,
+) {
     let link = Link {
         kind: S::KIND,
         log,
--- a/src/mastweir/gateway/forward.rs
+++ b/src/mastweir/gateway/forward.rs
@@ -294,7 +294,7 @@
         }
         return Err(AttemptResult::Broken);
     };
-    gateway.server_pool.give_back(exchange, head.keep_alive);
+    gateway.server_pool.release(exchange, head.keep_alive);
     let status = parts.status;
     let failed = status.is_server_error();
     if failed {
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -102,8 +102,8 @@
 async fn sweep(gateway: Rc<Gateway>) {
     loop {
         time::sleep(SWEEP_EVERY).await;
-        gateway.server_pool.sweep();
-        gateway.internal_pool.sweep();
+        gateway.server_pool.close_expired();
+        gateway.internal_pool.close_expired();
         gateway.drop_expired();
         gateway.suspects.borrow_mut().expire(gateway.clock.now());
     }
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -7,7 +7,7 @@
 use crate::{
     net::http::Pool,
     platform::store::Store,
-    util::{clock::Clock, tally::Tally},
+    util::{clock::Clock, prometheus::MetricsRegistry},
 };
 use mastweir_core::{
     gateway::{
@@ -77,7 +77,7 @@
     /// The log.
     pub log: Logger,
     /// Counters and histograms.
-    pub metrics: Tally,
+    pub metrics: MetricsRegistry,
     /// The platform's store.
     pub store: Store,
     /// Tells those who follow the store that it was away.
@@ -135,7 +135,7 @@
         Self {
             clock: options.clock.clone(),
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
-            metrics: Tally::default(),
+            metrics: MetricsRegistry::default(),
             store: Store::new(settings.store, Rc::new(Pool::default())),
             outages: Notify::new(),
             server_pool: Pool::default(),
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -8,7 +8,7 @@
     permits::choose_until,
     state::Gateway,
 };
-use crate::{net::http::Exchange, platform::headers};
+use crate::{net::http::Connection, platform::headers};
 use bytes::Bytes;
 use futures_util::stream::{self, Stream};
 use http_body_util::{BodyExt, Either, Full, StreamBody};
@@ -45,7 +45,7 @@
 
 struct Source {
     body: Incoming,
-    exchange: Exchange,
+    exchange: Connection,
     place: Place,
     keep: Option<Duration>,
 }
@@ -189,7 +189,7 @@
 
     fn finish(&mut self) -> Piece {
         let Some(source) = self.source.take() else { return Piece::Cut };
-        self.gateway.server_pool.give_back(source.exchange, source.keep);
+        self.gateway.server_pool.release(source.exchange, source.keep);
         let took = self.call.age();
         self.call.finished(&self.gateway);
         self.gateway.metrics.count("streams_total", "complete");
--- a/src/mastweir/net/channel.rs
+++ b/src/mastweir/net/channel.rs
@@ -17,28 +17,28 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 const PATTERN: &str = "Noise_NNpsk0_25519_ChaChaPoly_BLAKE2s";
-const PURPOSE: &str = "mastweir 2026 channel";
+const KEY_CONTEXT: &str = "mastweir 2026 channel";
 /// Place of the secret in the handshake pattern.
-const PSK_PLACE: u8 = 0;
+const PSK_POSITION: u8 = 0;
 /// Bytes that encryption adds to a frame.
 const TAG_LEN: usize = 16;
 /// Bytes of a handshake message at most.
-const HELLO_MAX: usize = 256;
+const HANDSHAKE_MAX: usize = 256;
 /// Time that a peer has for its part of the handshake.
-const HELLO_TIME: Duration = Duration::from_secs(2);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a channel can't go on.
 #[derive(Debug, thiserror::Error)]
 pub enum ChannelError {
     /// The connection could not be opened, or is lost.
     #[error("using the connection: {0}; the peer is down or cut off")]
-    Lost(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
     /// The peer closed it.
     #[error("reading the next frame: the peer closed the connection")]
     Closed,
     /// A frame was not made under this secret, or was changed or replayed.
     #[error("decrypting a frame: {0}; give all processes the same --secret and version")]
-    Foreign(#[from] snow::Error),
+    Decrypt(#[from] snow::Error),
     /// A frame is no message.
     #[error("reading a frame: {0}; run the same version on both sides")]
     Malformed(#[from] postcard::Error),
@@ -50,7 +50,7 @@
 /// The sending side.
 #[derive(Debug)]
 pub struct Sender {
-    wire: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
+    frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
     noise: Arc<StatelessTransportState>,
     nonce: u64,
 }
@@ -58,7 +58,7 @@
 /// The receiving side.
 #[derive(Debug)]
 pub struct Receiver {
-    wire: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
+    frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     noise: Arc<StatelessTransportState>,
     nonce: u64,
 }
@@ -77,14 +77,14 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Lost`] if the connection is.
+    /// [`ChannelError::Io`] if the connection is.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), ChannelError> {
         let plain = postcard::to_stdvec(message)?;
         let mut sealed = vec![0; plain.len() + TAG_LEN];
         let len = self.noise.write_message(self.nonce, &plain, &mut sealed)?;
         self.nonce += 1;
         sealed.truncate(len);
-        self.wire.send(Bytes::from(sealed)).await?;
+        self.frames.send(Bytes::from(sealed)).await?;
         Ok(())
     }
 }
@@ -96,7 +96,7 @@
     ///
     /// [`ChannelError`] if there will be none.
     pub async fn recv<T: DeserializeOwned>(&mut self) -> Result<T, ChannelError> {
-        let sealed = self.wire.next().await.ok_or(ChannelError::Closed)??;
+        let sealed = self.frames.next().await.ok_or(ChannelError::Closed)??;
         let mut plain = vec![0; sealed.len()];
         let len = self.noise.read_message(self.nonce, &sealed, &mut plain)?;
         self.nonce += 1;
@@ -117,9 +117,9 @@
     ) -> Result<Self, ChannelError> {
         let opening = async {
             let stream = TcpStream::connect(addr).await?;
-            let key = secret.derive(PURPOSE);
+            let key = secret.derive_key(KEY_CONTEXT);
             let noise = builder(&key)?.build_initiator()?;
-            Self::shake(stream, noise).await
+            Self::handshake(stream, noise).await
         };
         time::timeout(limit, opening).await.map_err(|_| ChannelError::Timeout)?
     }
@@ -130,24 +130,24 @@
     ///
     /// [`ChannelError`] if the peer is foreign or slow.
     pub async fn accept(stream: TcpStream, secret: &Secret) -> Result<Self, ChannelError> {
-        let key = secret.derive(PURPOSE);
+        let key = secret.derive_key(KEY_CONTEXT);
         let noise = builder(&key)?.build_responder()?;
-        let shaking = Self::shake(stream, noise);
-        time::timeout(HELLO_TIME, shaking).await.map_err(|_| ChannelError::Timeout)?
+        let handshake = Self::handshake(stream, noise);
+        time::timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| ChannelError::Timeout)?
     }
 
     /// Whether nothing says that the peer is gone. Between exchanges only: a
     /// frame that waits to be read then counts as a closed channel too.
-    pub fn is_quiet(&mut self) -> bool {
-        self.receiver.wire.next().now_or_never().is_none()
+    pub fn is_reusable(&mut self) -> bool {
+        self.receiver.frames.next().now_or_never().is_none()
     }
 
-    async fn shake(stream: TcpStream, mut noise: HandshakeState) -> Result<Self, ChannelError> {
+    async fn handshake(stream: TcpStream, mut noise: HandshakeState) -> Result<Self, ChannelError> {
         stream.set_nodelay(true)?;
         let (read, write) = stream.into_split();
-        let mut read = FramedRead::new(read, codec(HELLO_MAX));
+        let mut read = FramedRead::new(read, codec(HANDSHAKE_MAX));
         let mut write = FramedWrite::new(write, codec(FRAME_MAX + TAG_LEN));
-        let mut buffer = [0; HELLO_MAX];
+        let mut buffer = [0; HANDSHAKE_MAX];
         while !noise.is_handshake_finished() {
             if noise.is_my_turn() {
                 let len = noise.write_message(&[], &mut buffer)?;
@@ -160,14 +160,14 @@
         // Past the handshake the peer is known, and may send full frames.
         read.decoder_mut().set_max_frame_length(FRAME_MAX + TAG_LEN);
         let noise = Arc::new(noise.into_stateless_transport_mode()?);
-        let sender = Sender { wire: write, noise: noise.clone(), nonce: 0 };
-        let receiver = Receiver { wire: read, noise, nonce: 0 };
+        let sender = Sender { frames: write, noise: noise.clone(), nonce: 0 };
+        let receiver = Receiver { frames: read, noise, nonce: 0 };
         Ok(Self { sender, receiver })
     }
 }
 
 fn builder(key: &[u8; 32]) -> Result<Builder<'_>, snow::Error> {
-    Builder::new(PATTERN.parse()?).prologue(&[VERSION])?.psk(PSK_PLACE, key)
+    Builder::new(PATTERN.parse()?).prologue(&[VERSION])?.psk(PSK_POSITION, key)
 }
 
 fn codec(max: usize) -> LengthDelimitedCodec {
--- a/src/mastweir/net/pool.rs
+++ b/src/mastweir/net/channel_pool.rs
@@ -19,13 +19,13 @@
 
 /// Idle channels by peer. A channel carries one exchange at a time.
 #[derive(Debug)]
-pub struct Pool {
+pub struct ChannelPool {
     secret: Secret,
     idle: Mutex<HashMap<SocketAddr, Vec<(Channel, Uptime)>>>,
     clock: Clock,
 }
 
-impl Pool {
+impl ChannelPool {
     /// A pool without channels.
     pub fn new(secret: Secret) -> Self {
         Self { secret, idle: Mutex::default(), clock: Clock::start() }
@@ -58,7 +58,7 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let channels = idle.get_mut(&addr)?;
         while let Some((mut channel, since)) = channels.pop() {
-            if self.clock.now().since(since) < IDLE_TIME && channel.is_quiet() {
+            if self.clock.now().since(since) < IDLE_TIME && channel.is_reusable() {
                 return Some(channel);
             }
         }
--- a/src/mastweir/net/http.rs
+++ b/src/mastweir/net/http.rs
@@ -2,11 +2,11 @@
 //!
 //! A forwarded request needs to know whether any of its bytes left, must close
 //! its connection when its caller leaves, and must never share one with another
-//! request. So each exchange holds its connection as an [`Exchange`], and gives
+//! request. So each exchange holds its connection as a [`Connection`], and gives
 //! it back to the [`Pool`] only after a whole answer. Everything runs on one
 //! thread.
 
-use crate::util::clock::{Clock, Late};
+use crate::util::clock::{Clock, DeadlinePassed};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{
@@ -25,19 +25,19 @@
 const IDLE_MAX: usize = 8;
 /// An idle connection is used again within this time, unless its server says
 /// less: servers close idle ones after seconds, and may be silent about it.
-const IDLE_LASTS: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// What is left unused of the time that a server keeps an idle connection, for
 /// the way of the last request.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 /// Unacknowledged bytes end a connection after this time. Without it a
 /// connection to a machine that is gone hangs for minutes.
-const UNACKED_LASTS: Duration = Duration::from_secs(4);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How long whoever turns a request away wants no others, if its answer says so. A date, the
 /// header's other form, is not read.
-pub fn backs_off(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
-    let turned_away = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
-    if !turned_away.contains(&status) {
+pub fn retry_after(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
+    let refusals = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+    if !refusals.contains(&status) {
         return None;
     }
     let value = headers.get(header::RETRY_AFTER)?.to_str().ok()?;
@@ -60,16 +60,16 @@
     Unsent,
     /// The request left, at least in part, and there is no whole answer.
     #[error("no whole answer: {0}; whether it was carried out is unknown")]
-    Broken(#[from] hyper::Error),
+    Http(#[from] hyper::Error),
     /// The answer is larger than the caller takes.
     #[error("the answer is larger than {limit} bytes, or broke off; raise the limit if it may be")]
-    Unread {
+    IncompleteBody {
         /// Largest answer taken.
         limit: usize,
     },
     /// No answer in time.
     #[error("no answer in time; whether it was carried out is unknown")]
-    Late(#[from] Late),
+    Timeout(#[from] DeadlinePassed),
 }
 
 impl CallError {
@@ -80,7 +80,7 @@
 
     /// Whether what came is no answer.
     pub fn is_malformed(&self) -> bool {
-        let Self::Broken(error) = self else { return false };
+        let Self::Http(error) = self else { return false };
         error.is_parse()
     }
 
@@ -93,7 +93,7 @@
 
 /// A small answer, read to its end.
 #[derive(Clone, Debug)]
-pub struct Called {
+pub struct FullAnswer {
     /// HTTP status.
     pub status: u16,
     /// Its headers.
@@ -104,12 +104,12 @@
 
 /// A connection that one request and its answer hold.
 #[derive(Debug)]
-pub struct Exchange {
+pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     addr: SocketAddr,
 }
 
-impl Exchange {
+impl Connection {
     /// Whether its connection has ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
@@ -132,33 +132,33 @@
 }
 
 #[derive(Debug)]
-struct Idle {
-    exchange: Exchange,
+struct IdleConnection {
+    connection: Connection,
     until: Uptime,
 }
 
-impl Idle {
+impl IdleConnection {
     fn is_usable(&self, now: Uptime) -> bool {
-        self.until > now && !self.exchange.is_closed()
+        self.until > now && !self.connection.is_closed()
     }
 }
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     clock: Clock,
 }
 
 impl Pool {
     /// A connection that is idle, if there is one.
-    pub fn reuse(&self, addr: SocketAddr) -> Option<Exchange> {
+    pub fn reuse(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
         let now = self.clock.now();
         while let Some(last) = list.pop() {
-            if last.is_usable(now) && last.exchange.sender.is_ready() {
-                return Some(last.exchange);
+            if last.is_usable(now) && last.connection.sender.is_ready() {
+                return Some(last.connection);
             }
         }
         None
@@ -169,11 +169,11 @@
     /// # Errors
     ///
     /// It could not be opened in `wait`.
-    pub async fn open(&self, addr: SocketAddr, wait: Duration) -> Result<Exchange, CallError> {
+    pub async fn open(&self, addr: SocketAddr, wait: Duration) -> Result<Connection, CallError> {
         let connect = async {
             let stream = TcpStream::connect(addr).await?;
             stream.set_nodelay(true)?;
-            SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_LASTS))?;
+            SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
             Ok(stream)
         };
         let late = || io::Error::from(io::ErrorKind::TimedOut);
@@ -186,31 +186,31 @@
         // Its end shows at the request that holds it; an idle one's is of no
         // interest.
         task::spawn_local(async move { drop(connection.await) });
-        Ok(Exchange { sender, addr })
+        Ok(Connection { sender, addr })
     }
 
     /// Keeps a connection whose answer was read to its end. `keep` is how long
     /// its server keeps it, if it said so.
-    pub fn give_back(&self, exchange: Exchange, keep: Option<Duration>) {
-        let lasts = keep.map_or(IDLE_LASTS, |keep| keep.saturating_sub(IDLE_MARGIN));
+    pub fn release(&self, connection: Connection, keep: Option<Duration>) {
+        let lifetime = keep.map_or(IDLE_TIMEOUT, |keep| keep.saturating_sub(IDLE_MARGIN));
         let now = self.clock.now();
-        let until = now + lasts.min(IDLE_LASTS);
+        let until = now + lifetime.min(IDLE_TIMEOUT);
         let mut idle = self.idle.borrow_mut();
-        let list = idle.entry(exchange.addr).or_default();
+        let list = idle.entry(connection.addr).or_default();
         list.retain(|idle| idle.is_usable(now));
         if list.len() < IDLE_MAX {
-            list.push(Idle { exchange, until });
+            list.push(IdleConnection { connection, until });
         }
     }
 
     /// Closes idle connections to an address.
-    fn forget(&self, addr: SocketAddr) {
+    fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
     /// Closes idle connections that are past their time, and forgets addresses
     /// that have none.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         for list in idle.values_mut() {
@@ -230,12 +230,12 @@
         request: Request<Full<Bytes>>,
         wait: Duration,
         limit: usize,
-    ) -> Result<Called, CallError> {
+    ) -> Result<FullAnswer, CallError> {
         let called = self.exchange(addr, request, wait, limit).await;
-        if matches!(called, Err(CallError::Late(_))) {
+        if matches!(called, Err(CallError::Timeout(_))) {
             // What silenced this connection may have silenced the idle ones beside it;
             // each would cost another call its whole wait.
-            self.forget(addr);
+            self.close_idle(addr);
         }
         called
     }
@@ -246,18 +246,18 @@
         request: Request<Full<Bytes>>,
         wait: Duration,
         limit: usize,
-    ) -> Result<Called, CallError> {
+    ) -> Result<FullAnswer, CallError> {
         let deadline = self.clock.now() + wait;
-        let mut exchange = match self.reuse(addr) {
-            Some(exchange) => exchange,
+        let mut connection = match self.reuse(addr) {
+            Some(connection) => connection,
             None => self.open(addr, wait).await?,
         };
-        let answer = self.clock.timeout_at(deadline, exchange.send(request)).await??;
+        let answer = self.clock.timeout_at(deadline, connection.send(request)).await??;
         let (parts, body) = answer.into_parts();
         let body = Limited::new(body, limit).collect();
         let body = self.clock.timeout_at(deadline, body).await?;
-        let body = body.map_err(|_| CallError::Unread { limit })?.to_bytes();
-        self.give_back(exchange, None);
-        Ok(Called { status: parts.status.as_u16(), headers: parts.headers, body })
+        let body = body.map_err(|_| CallError::IncompleteBody { limit })?.to_bytes();
+        self.release(connection, None);
+        Ok(FullAnswer { status: parts.status.as_u16(), headers: parts.headers, body })
     }
 }
--- a/src/mastweir/net/internal.rs
+++ b/src/mastweir/net/internal.rs
@@ -1,6 +1,6 @@
 //! Small calls between mastweir's own processes: HTTP/1.1 with `postcard`.
 
-use super::http::{CallError, Called, Pool};
+use super::http::{CallError, FullAnswer, Pool};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{
@@ -49,7 +49,7 @@
         .header(header::HOST, addr.to_string())
         .body(Full::new(Bytes::from(body)))
         .map_err(|_| InternalError::Status(400))?;
-    let Called { status, body, .. } = pool.call(addr, request, wait, BODY_BYTES_MAX).await?;
+    let FullAnswer { status, body, .. } = pool.call(addr, request, wait, BODY_BYTES_MAX).await?;
     if status != 200 {
         return Err(InternalError::Status(status));
     }
--- a/src/mastweir/net/mod.rs
+++ b/src/mastweir/net/mod.rs
@@ -7,13 +7,13 @@
 //! size before anything is allocated for them.
 
 mod channel;
+mod channel_pool;
 pub mod http;
 pub mod internal;
-mod pool;
 mod socket;
 
 pub use channel::{Channel, ChannelError, Receiver, Sender};
-pub use pool::Pool;
+pub use channel_pool::ChannelPool;
 pub use socket::{Received, Socket, Traffic};
 
 use crate::util::settings::SettingsError;
@@ -24,10 +24,10 @@
 pub struct Secret([u8; 32]);
 
 impl Secret {
-    const TEXT_MIN: usize = 16;
+    const LENGTH_MIN: usize = 16;
 
     /// A key for one purpose, derived from the secret.
-    pub fn derive(&self, purpose: &str) -> [u8; 32] {
+    pub fn derive_key(&self, purpose: &str) -> [u8; 32] {
         blake3::derive_key(purpose, &self.0)
     }
 }
@@ -36,7 +36,7 @@
     type Err = SettingsError;
 
     fn from_str(text: &str) -> Result<Self, SettingsError> {
-        if text.len() < Self::TEXT_MIN {
+        if text.len() < Self::LENGTH_MIN {
             let remedy = "give 16 or more random characters, the same to every process";
             return Err(SettingsError::new("secret", "(hidden)", "is too short", remedy));
         }
--- a/src/mastweir/net/socket.rs
+++ b/src/mastweir/net/socket.rs
@@ -17,10 +17,10 @@
 };
 use tokio::net::UdpSocket;
 
-const PURPOSE: &str = "mastweir 2026 datagram";
+const KEY_CONTEXT: &str = "mastweir 2026 datagram";
 const MAC_LEN: usize = 16;
 /// Bytes of the headers of IP (version 4) and UDP.
-const HEADERS: usize = 28;
+const HEADER_BYTES: usize = 28;
 /// Senders remembered at most; foreign ones never get that far.
 const SENDERS_MAX: usize = 8_192;
 
@@ -42,18 +42,18 @@
     seq: AtomicU64,
     last: Mutex<HashMap<String, (Incarnation, u64)>>,
     dropped: AtomicU64,
-    sent: Count,
-    received: Count,
+    sent: TrafficCounter,
+    received: TrafficCounter,
 }
 
 /// Datagrams and their bytes, counted.
 #[derive(Debug, Default)]
-struct Count {
+struct TrafficCounter {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Count {
+impl TrafficCounter {
     fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
@@ -81,12 +81,12 @@
         Ok(Self {
             udp: UdpSocket::bind(addr).await?,
             own,
-            key: secret.derive(PURPOSE),
+            key: secret.derive_key(KEY_CONTEXT),
             seq: AtomicU64::new(1),
             last: Mutex::default(),
             dropped: AtomicU64::new(0),
-            sent: Count::default(),
-            received: Count::default(),
+            sent: TrafficCounter::default(),
+            received: TrafficCounter::default(),
         })
     }
 
@@ -101,7 +101,7 @@
 
     /// Datagrams so far, both ways.
     pub fn traffic(&self) -> Traffic {
-        let sum = |of: fn(&Count) -> &AtomicU64| {
+        let sum = |of: fn(&TrafficCounter) -> &AtomicU64| {
             of(&self.sent).load(Ordering::Relaxed) + of(&self.received).load(Ordering::Relaxed)
         };
         Traffic {
@@ -127,7 +127,7 @@
         }
         let mac = blake3::keyed_hash(&self.key, &bytes);
         bytes.extend_from_slice(&mac.as_bytes()[..MAC_LEN]);
-        self.sent.add(bytes.len() + HEADERS);
+        self.sent.add(bytes.len() + HEADER_BYTES);
         // A full or closed socket loses the packet as the network may.
         let _ = self.udp.send_to(&bytes, to).await;
     }
@@ -146,9 +146,9 @@
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(error) => return Err(error),
             };
-            match self.open(&buffer[..len]) {
+            match self.verify(&buffer[..len]) {
                 Some(datagram) => {
-                    self.received.add(len + HEADERS);
+                    self.received.add(len + HEADER_BYTES);
                     return Ok(Received { addr, datagram });
                 }
                 None => self.dropped.fetch_add(1, Ordering::Relaxed),
@@ -156,10 +156,10 @@
         }
     }
 
-    fn open(&self, bytes: &[u8]) -> Option<Datagram> {
+    fn verify(&self, bytes: &[u8]) -> Option<Datagram> {
         let (body, mac) = bytes.split_at_checked(bytes.len().checked_sub(MAC_LEN)?)?;
-        let whole = blake3::keyed_hash(&self.key, body);
-        if !bool::from(subtle::ConstantTimeEq::ct_eq(mac, &whole.as_bytes()[..MAC_LEN])) {
+        let expected = blake3::keyed_hash(&self.key, body);
+        if !bool::from(subtle::ConstantTimeEq::ct_eq(mac, &expected.as_bytes()[..MAC_LEN])) {
             return None;
         }
         let datagram: Datagram = postcard::from_bytes(body).ok()?;
--- a/src/mastweir/objects/client.rs
+++ b/src/mastweir/objects/client.rs
@@ -1,6 +1,6 @@
 //! The client of a Kubernetes-style object API.
 
-use super::{Collection, List, Meta, Object, Written};
+use super::{Collection, LastWrite, List, Metadata, Object};
 use futures_util::{Stream, StreamExt, TryStreamExt};
 use reqwest::{Client, Method, RequestBuilder, Response, StatusCode};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -20,7 +20,7 @@
 
 const GROUP_PATH: &str = "apis/mastweir.dev/v1";
 /// Time for one call.
-const CALL_TIME: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time that a watch is left open; the API counts each opening as a call.
 const WATCH_SECS: u64 = 300;
 /// Bytes of one line of a watch at most.
@@ -28,7 +28,7 @@
 
 /// Why a call to the object API brought nothing.
 #[derive(Debug, thiserror::Error)]
-pub enum PlatformError {
+pub enum ObjectError {
     /// Another write came first.
     #[error("writing {0}: it has changed since it was read; read it again")]
     Conflict(String),
@@ -40,20 +40,20 @@
     NotFound(String),
     /// The version to watch from is too old.
     #[error("watching {0}: the version is too old; list again")]
-    TooOld(&'static str),
+    VersionTooOld(&'static str),
     /// The API said no.
     #[error("calling the object API: status {0}; check --platform and --token")]
     Status(StatusCode),
     /// No answer: a write may have landed or not.
     #[error("calling the object API: {0}; a write may have landed, read it back")]
-    NoAnswer(#[from] reqwest::Error),
+    NoResponse(#[from] reqwest::Error),
 }
 
-impl PlatformError {
+impl ObjectError {
     /// Whether a write may have landed all the same.
-    pub fn may_have_landed(&self) -> bool {
+    pub fn is_outcome_unknown(&self) -> bool {
         match self {
-            Self::NoAnswer(error) => !error.is_connect(),
+            Self::NoResponse(error) => !error.is_connect(),
             Self::Status(status) => status.is_server_error(),
             _ => false,
         }
@@ -77,21 +77,21 @@
 
 /// The object API.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct ObjectClient {
     client: Client,
     base: String,
     token: String,
     calls: Arc<AtomicU64>,
 }
 
-impl Platform {
+impl ObjectClient {
     /// A client for the API at `base`.
     ///
     /// # Errors
     ///
     /// No client can be made.
     pub fn new(base: &str, token: &str) -> eyre::Result<Self> {
-        let client = Client::builder().connect_timeout(CALL_TIME).build()?;
+        let client = Client::builder().connect_timeout(CALL_TIMEOUT).build()?;
         let base = base.trim_end_matches('/').to_owned();
         Ok(Self { client, base, token: token.to_owned(), calls: Arc::default() })
     }
@@ -105,11 +105,11 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError`].
+    /// [`ObjectError`].
     pub async fn list<T: DeserializeOwned>(
         &self,
         collection: Collection,
-    ) -> Result<List<T>, PlatformError> {
+    ) -> Result<List<T>, ObjectError> {
         let response = self.send(self.request(Method::GET, collection, None)).await?;
         Ok(check(response, collection.as_str())?.json().await?)
     }
@@ -118,8 +118,8 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError`].
-    pub async fn probe(&self, collection: Collection) -> Result<(), PlatformError> {
+    /// [`ObjectError`].
+    pub async fn probe(&self, collection: Collection) -> Result<(), ObjectError> {
         let request = self.request(Method::GET, collection, None).query(&[("limit", "1")]);
         check(self.send(request).await?, collection.as_str())?.bytes().await?;
         Ok(())
@@ -129,12 +129,12 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::TooOld`] asks for a list first.
+    /// [`ObjectError::VersionTooOld`] asks for a list first.
     pub async fn watch<T: DeserializeOwned + Send + 'static>(
         &self,
         collection: Collection,
         version: u64,
-    ) -> Result<Watcher<T>, PlatformError> {
+    ) -> Result<Watcher<T>, ObjectError> {
         let query = [
             ("watch", "1".to_owned()),
             ("resourceVersion", version.to_string()),
@@ -144,7 +144,7 @@
         self.calls.fetch_add(1, Ordering::Relaxed);
         let response = request.timeout(Duration::from_secs(WATCH_SECS + 10)).send().await?;
         if response.status() == StatusCode::GONE {
-            return Err(PlatformError::TooOld(collection.as_str()));
+            return Err(ObjectError::VersionTooOld(collection.as_str()));
         }
         let bytes = check(response, collection.as_str())?.bytes_stream();
         let reader = StreamReader::new(Box::pin(bytes.map_err(io::Error::other)));
@@ -160,12 +160,12 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError`].
+    /// [`ObjectError`].
     pub async fn get<T: DeserializeOwned>(
         &self,
         collection: Collection,
         name: &str,
-    ) -> Result<Object<T>, PlatformError> {
+    ) -> Result<Object<T>, ObjectError> {
         let response = self.send(self.request(Method::GET, collection, Some(name))).await?;
         Ok(check(response, name)?.json().await?)
     }
@@ -174,17 +174,17 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Exists`] if there is.
+    /// [`ObjectError::Exists`] if there is.
     pub async fn create<T: Serialize + DeserializeOwned>(
         &self,
         collection: Collection,
         object: &Object<T>,
-    ) -> Result<Object<T>, PlatformError> {
+    ) -> Result<Object<T>, ObjectError> {
         let name = &object.metadata.name;
         let request = self.request(Method::POST, collection, None).json(object);
         let response = self.send(request).await?;
         if response.status() == StatusCode::CONFLICT {
-            return Err(PlatformError::Exists(name.clone()));
+            return Err(ObjectError::Exists(name.clone()));
         }
         Ok(check(response, name)?.json().await?)
     }
@@ -193,12 +193,12 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Conflict`] if it is not.
+    /// [`ObjectError::Conflict`] if it is not.
     pub async fn update<T: Serialize + DeserializeOwned>(
         &self,
         collection: Collection,
         object: &Object<T>,
-    ) -> Result<Object<T>, PlatformError> {
+    ) -> Result<Object<T>, ObjectError> {
         let name = &object.metadata.name;
         let request = self.request(Method::PUT, collection, Some(name)).json(object);
         Ok(check(self.send(request).await?, name)?.json().await?)
@@ -208,13 +208,13 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Conflict`] if it is not.
+    /// [`ObjectError::Conflict`] if it is not.
     pub async fn delete(
         &self,
         collection: Collection,
         name: &str,
         version: u64,
-    ) -> Result<(), PlatformError> {
+    ) -> Result<(), ObjectError> {
         let query = [("resourceVersion", version.to_string())];
         let request = self.request(Method::DELETE, collection, Some(name)).query(&query);
         check(self.send(request).await?, name)?;
@@ -227,26 +227,26 @@
         self.client.request(method, path).bearer_auth(&self.token)
     }
 
-    async fn send(&self, request: RequestBuilder) -> Result<Response, PlatformError> {
+    async fn send(&self, request: RequestBuilder) -> Result<Response, ObjectError> {
         self.calls.fetch_add(1, Ordering::Relaxed);
-        Ok(request.timeout(CALL_TIME).send().await?)
+        Ok(request.timeout(CALL_TIMEOUT).send().await?)
     }
 }
 
 impl<T> Object<T> {
     /// A new object, not written yet.
     pub fn new(name: &str, by: &str, operation: &str, spec: T) -> Self {
-        let metadata = Meta { name: name.to_owned(), resource_version: String::new() };
-        let written = Written { by: by.to_owned(), operation: operation.to_owned() };
+        let metadata = Metadata { name: name.to_owned(), resource_version: String::new() };
+        let written = LastWrite { by: by.to_owned(), operation: operation.to_owned() };
         Self { metadata, written, spec }
     }
 }
 
-fn check(response: Response, name: &str) -> Result<Response, PlatformError> {
+fn check(response: Response, name: &str) -> Result<Response, ObjectError> {
     match response.status() {
         status if status.is_success() => Ok(response),
-        StatusCode::CONFLICT => Err(PlatformError::Conflict(name.to_owned())),
-        StatusCode::NOT_FOUND => Err(PlatformError::NotFound(name.to_owned())),
-        status => Err(PlatformError::Status(status)),
+        StatusCode::CONFLICT => Err(ObjectError::Conflict(name.to_owned())),
+        StatusCode::NOT_FOUND => Err(ObjectError::NotFound(name.to_owned())),
+        status => Err(ObjectError::Status(status)),
     }
 }
--- a/src/mastweir/objects/liveness.rs
+++ b/src/mastweir/objects/liveness.rs
@@ -1,7 +1,7 @@
 //! Whether a watch of the object API can still bring anything: see
 //! [`mastweir_core::gateway::Liveness`], which decides it.
 
-use super::{Collection, Platform};
+use super::{Collection, ObjectClient};
 use mastweir_core::gateway::{Liveness, PROBE_TIMEOUT, ProbeResult};
 use slog::{Logger, info};
 use std::time::Duration;
@@ -9,7 +9,12 @@
 
 /// Ends when a watch opened before this call can't be trusted any more: the API was away,
 /// and answers again. It is asked each `every`.
-pub async fn outage(platform: &Platform, collection: Collection, every: Duration, log: &Logger) {
+pub async fn wait_for_outage(
+    platform: &ObjectClient,
+    collection: Collection,
+    every: Duration,
+    log: &Logger,
+) {
     let mut liveness = Liveness::default();
     loop {
         time::sleep(liveness.probe_interval(every)).await;
--- a/src/mastweir/objects/mod.rs
+++ b/src/mastweir/objects/mod.rs
@@ -10,9 +10,9 @@
 mod liveness;
 mod object;
 
-pub use client::{Platform, PlatformError, WatchEvent, Watcher};
-pub use liveness::outage;
+pub use client::{ObjectClient, ObjectError, WatchEvent, Watcher};
+pub use liveness::wait_for_outage;
 pub use object::{
-    Collection, GroupSpec, InstanceRole, InstanceSpec, InstanceState, KeySpec, List, Meta, Object,
-    Written,
+    Collection, GroupSpec, InstanceRole, InstanceSpec, InstanceState, KeySpec, LastWrite, List,
+    Metadata, Object,
 };
--- a/src/mastweir/objects/object.rs
+++ b/src/mastweir/objects/object.rs
@@ -32,7 +32,7 @@
 /// What the API knows of an object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Meta {
+pub struct Metadata {
     /// Name, unique in the collection.
     pub name: String,
     /// Version; rises with each write to any object.
@@ -42,7 +42,7 @@
 
 /// Who wrote an object last, and in which operation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct LastWrite {
     /// Name of the operator or process.
     pub by: String,
     /// Drawn for each write: after a lost reply, reading it back tells whether
@@ -54,10 +54,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object<T> {
     /// What the API knows of it.
-    pub metadata: Meta,
+    pub metadata: Metadata,
     /// Who wrote it.
     #[serde(default)]
-    pub written: Written,
+    pub written: LastWrite,
     /// Its content.
     pub spec: T,
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List<T> {
     /// The version is in here.
-    pub metadata: Meta,
+    pub metadata: Metadata,
     /// The objects.
     pub items: Vec<Object<T>>,
 }
--- a/src/mastweir/ops/daemon.rs
+++ b/src/mastweir/ops/daemon.rs
@@ -170,8 +170,8 @@
         name: options.name.to_owned(),
         hall: options.hall.to_owned(),
         secret: Secret::from_str(options.secret)?,
-        platform: base_url("platform", options.platform)?,
-        token: options.token.to_owned(),
+        objects_url: base_url("platform", options.platform)?,
+        api_token: options.token.to_owned(),
         statsd: options.statsd.map(|text| addr("statsd", text)).transpose()?,
         log: log::make(format, level),
     })
--- a/src/mastweir/ops/table.rs
+++ b/src/mastweir/ops/table.rs
@@ -11,7 +11,7 @@
 
 use super::EntryClient;
 use crate::{
-    objects::{Collection, Object, Platform, PlatformError},
+    objects::{Collection, Object, ObjectClient, ObjectError},
     util::settings::base_url,
 };
 use mastweir_core::table::{Customer, Row, RowKey, RowKind};
@@ -69,7 +69,7 @@
         /// The row.
         key: String,
         /// Why.
-        source: PlatformError,
+        source: ObjectError,
     },
     /// No such column, or a value that is none.
     #[error(
@@ -174,8 +174,8 @@
     };
     match written {
         Ok(object) => Ok(Accepted { key, version: object.version(), changes }),
-        Err(PlatformError::Conflict(_)) => Err(conflict(&platform, &key, former.as_ref()).await),
-        Err(error) if error.may_have_landed() => {
+        Err(ObjectError::Conflict(_)) => Err(conflict(&platform, &key, former.as_ref()).await),
+        Err(error) if error.is_outcome_unknown() => {
             let version = read_back(&platform, &key, &operation, error).await?;
             Ok(Accepted { key, version, changes })
         }
@@ -198,10 +198,10 @@
     }
     match platform.delete(Collection::Rows, &name, former.version()).await {
         Ok(()) => Ok(Accepted { key: name, version: former.version() + 1, changes }),
-        Err(error) if error.may_have_landed() => {
+        Err(error) if error.is_outcome_unknown() => {
             for _ in 0..READ_BACK_TRIES {
                 match platform.get::<serde_json::Value>(Collection::Rows, &name).await {
-                    Err(PlatformError::NotFound(_)) => {
+                    Err(ObjectError::NotFound(_)) => {
                         let version = former.version() + 1;
                         return Ok(Accepted { key: name, version, changes });
                     }
@@ -252,8 +252,8 @@
     }
 }
 
-fn platform(options: &TableOptions<'_>) -> eyre::Result<Platform> {
-    Platform::new(&base_url("platform", options.platform)?, options.token)
+fn platform(options: &TableOptions<'_>) -> eyre::Result<ObjectClient> {
+    ObjectClient::new(&base_url("platform", options.platform)?, options.token)
 }
 
 async fn read(options: &TableOptions<'_>, key: &RowKey) -> eyre::Result<Object<Row>> {
@@ -305,14 +305,18 @@
     columns(row).iter().filter_map(differs).collect()
 }
 
-async fn conflict(platform: &Platform, key: &str, former: Option<&Object<Row>>) -> eyre::Report {
+async fn conflict(
+    platform: &ObjectClient,
+    key: &str,
+    former: Option<&Object<Row>>,
+) -> eyre::Report {
     let now = platform.get::<Row>(Collection::Rows, key).await;
     let (by, changes) = match (now, former) {
         (Ok(now), Some(former)) => {
             (now.written.by.clone(), changes(Some(&former.spec), &now.spec).join(", "))
         }
         (Ok(now), None) => (now.written.by, "added".to_owned()),
-        (Err(PlatformError::NotFound(_)), _) => ("someone".to_owned(), "removed".to_owned()),
+        (Err(ObjectError::NotFound(_)), _) => ("someone".to_owned(), "removed".to_owned()),
         (Err(error), _) => ("someone".to_owned(), format!("can't be read: {error}")),
     };
     TableError::Conflict { key: key.to_owned(), by, changes }.into()
@@ -320,15 +324,15 @@
 
 /// Whether a write whose reply was lost has landed.
 async fn read_back(
-    platform: &Platform,
+    platform: &ObjectClient,
     key: &str,
     operation: &str,
-    source: PlatformError,
+    source: ObjectError,
 ) -> Result<u64, TableError> {
     for _ in 0..READ_BACK_TRIES {
         match platform.get::<serde_json::Value>(Collection::Rows, key).await {
             Ok(object) if object.written.operation == operation => return Ok(object.version()),
-            Ok(_) | Err(PlatformError::NotFound(_)) => {
+            Ok(_) | Err(ObjectError::NotFound(_)) => {
                 return Err(TableError::NotAccepted { key: key.to_owned(), source });
             }
             Err(_) => time::sleep(READ_BACK_WAIT).await,
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -1,7 +1,7 @@
 //! Calls to a model server: its state, what its requests chose, and orders.
 
 use super::headers::{self, AnswerHead, LimitHeader};
-use crate::net::http::{CallError, Called, Pool};
+use crate::net::http::{CallError, FullAnswer, Pool};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request, StatusCode, header};
@@ -212,7 +212,7 @@
     ///
     /// See [`EngineError`].
     pub async fn state(&self) -> Result<EngineState, EngineError> {
-        let Called { headers, body, .. } = self.get("/report").await?;
+        let FullAnswer { headers, body, .. } = self.get("/report").await?;
         let report: ReportBody = serde_json::from_slice(&body)?;
         Ok(engine_state(report, &headers::read_answer(StatusCode::OK, &headers)))
     }
@@ -223,7 +223,7 @@
     ///
     /// See [`EngineError`].
     pub async fn selections(&self) -> Result<Selections, EngineError> {
-        let Called { body, .. } = self.get("/picked").await?;
+        let FullAnswer { body, .. } = self.get("/picked").await?;
         let read: CountsBody = serde_json::from_slice(&body)?;
         let CountsBody { born, step, epoch, counts } = read;
         let incarnation = born.unwrap_or_default();
@@ -236,7 +236,7 @@
     ///
     /// See [`EngineError`].
     pub async fn map(&self) -> Result<(u64, RankExperts), EngineError> {
-        let Called { body, .. } = self.get("/picked?lists=1").await?;
+        let FullAnswer { body, .. } = self.get("/picked?lists=1").await?;
         let lists: ListsBody = serde_json::from_slice(&body)?;
         Ok((lists.map.version, lists.map.experts))
     }
@@ -257,7 +257,7 @@
         })
     }
 
-    async fn get(&self, path: &str) -> Result<Called, EngineError> {
+    async fn get(&self, path: &str) -> Result<FullAnswer, EngineError> {
         let called = self.call(Method::GET, path, Vec::new(), CALL_TIMEOUT).await?;
         let status = called.status;
         if status == 200 { Ok(called) } else { Err(EngineError::Refused { status }) }
@@ -269,7 +269,7 @@
         path: &str,
         body: Vec<u8>,
         wait: Duration,
-    ) -> Result<Called, EngineError> {
+    ) -> Result<FullAnswer, EngineError> {
         let request = Request::builder()
             .method(method)
             .uri(path)
--- a/src/mastweir/platform/headers.rs
+++ b/src/mastweir/platform/headers.rs
@@ -228,7 +228,7 @@
         load: text(&LOAD).and_then(load),
         keep_alive: if closes { Some(Duration::ZERO) } else { keep_alive },
         leaving: text(&LEAVING).is_some_and(|value| value.trim() == "1"),
-        retry_after: http::backs_off(status, headers),
+        retry_after: http::retry_after(status, headers),
         limit: limit(headers),
     }
 }
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -14,7 +14,7 @@
     quarantine::{self, StoredQuarantine},
     servers,
 };
-use crate::net::http::{CallError, Called, Pool};
+use crate::net::http::{CallError, FullAnswer, Pool};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request, header};
@@ -286,7 +286,7 @@
             .body(Full::new(Bytes::from(bytes)))
             .map_err(|_| StoreError::Refused { status: 400 })?;
         let called = self.pool.call(self.addr, request, wait, ANSWER_BYTES_MAX).await?;
-        let Called { status, headers, body } = called;
+        let FullAnswer { status, headers, body } = called;
         let generation = self.note_generation(headers::read_generation(&headers))?;
         match status {
             200..=299 => Ok(StoreAnswer { generation, body }),
--- a/src/mastweir/util/clock.rs
+++ b/src/mastweir/util/clock.rs
@@ -19,12 +19,12 @@
 
 /// A timer that was set before a suspension is late by its length. Whoever waits for a point
 /// in time looks at the clock this often at least, so it is late by no more.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A point in time has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the deadline has passed; give more time, or try again")]
-pub struct Late;
+pub struct DeadlinePassed;
 
 /// A clock that began at the process's start.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
 
     /// Does to the clock what a suspension of the machine does: time has gone on, and timers
     /// have stood still.
-    pub fn suspend(&self, time: Duration) {
+    pub fn simulate_suspend(&self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.suspended.fetch_add(micros, Ordering::Relaxed);
     }
@@ -61,7 +61,7 @@
             if left.is_zero() {
                 return;
             }
-            time::sleep(left.min(LOOK_EVERY)).await;
+            time::sleep(left.min(CHECK_INTERVAL)).await;
         }
     }
 
@@ -69,16 +69,16 @@
     ///
     /// # Errors
     ///
-    /// [`Late`] if that passes first.
+    /// [`DeadlinePassed`] if that passes first.
     pub async fn timeout_at<T>(
         &self,
         until: Uptime,
         future: impl Future<Output = T>,
-    ) -> Result<T, Late> {
+    ) -> Result<T, DeadlinePassed> {
         tokio::select! {
             biased;
             value = future => Ok(value),
-            () = self.sleep_until(until) => Err(Late),
+            () = self.sleep_until(until) => Err(DeadlinePassed),
         }
     }
 }
--- a/src/mastweir/util/mod.rs
+++ b/src/mastweir/util/mod.rs
@@ -3,5 +3,5 @@
 pub mod clock;
 pub mod log;
 pub mod metrics;
+pub mod prometheus;
 pub mod settings;
-pub mod tally;
--- a/src/mastweir/util/tally.rs
+++ b/src/mastweir/util/prometheus.rs
@@ -16,12 +16,12 @@
 
 /// Named counters and histograms of one thread.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct MetricsRegistry {
     counters: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
     histograms: RefCell<BTreeMap<&'static str, Histogram>>,
 }
 
-impl Tally {
+impl MetricsRegistry {
     /// Counts one under a name and a label.
     pub fn count(&self, name: &'static str, label: &'static str) {
         *self.counters.borrow_mut().entry((name, label)).or_default() += 1;
--- a/tests/testsuite/connections.rs
+++ b/tests/testsuite/connections.rs
@@ -63,7 +63,7 @@
             let (one, two) = tokio::join!(call(&pool, addr, WAIT), call(&pool, addr, WAIT));
             expect_that!((one?, two?), eq((200, 200)));
             let lost = call(&pool, addr, WAIT_IN_VAIN).await;
-            expect_that!(lost, err(matches_pattern!(CallError::Late(anything()))));
+            expect_that!(lost, err(matches_pattern!(CallError::Timeout(anything()))));
             expect_that!(call(&pool, addr, WAIT).await?, eq(200));
             Ok(())
         })
--- a/tests/testsuite/follow.rs
+++ b/tests/testsuite/follow.rs
@@ -9,7 +9,7 @@
         objects::{Change, Changes},
         store::StoreError,
     },
-    util::{clock::Late, tally::Tally},
+    util::{clock::DeadlinePassed, prometheus::MetricsRegistry},
 };
 use mastweir_core::revision::Revision;
 use slog::{Logger, o};
@@ -112,7 +112,7 @@
     }
 
     async fn follow(&self, outages: &Notify) {
-        let (log, tally) = (Logger::root(slog::Discard, o!()), Tally::default());
+        let (log, tally) = (Logger::root(slog::Discard, o!()), MetricsRegistry::default());
         let Err(_) = time::timeout(ms(30_000), async {
             follow(self, outages, &log, &tally).await;
             pending::<Infallible>().await
@@ -127,7 +127,7 @@
 
 async fn late(lasts: Duration) -> StoreError {
     time::sleep(lasts).await;
-    StoreError::Call(CallError::Late(Late))
+    StoreError::Call(CallError::Timeout(DeadlinePassed))
 }
 
 impl Source for Store {
--- a/tests/testsuite/suspension.rs
+++ b/tests/testsuite/suspension.rs
@@ -46,7 +46,7 @@
     wait_for(async || first.got().len() == 1).await?;
     let other = Scripted::start(|got| vec![answer(got, "200 OK", "")]).await?;
     site.list("i-1", &other, "ready");
-    gateway.clock.suspend(SUSPENDED);
+    gateway.clock.simulate_suspend(SUSPENDED);
     expect_that!(call.await??.status, eq(200));
     let got = other.got();
     let left: u64 = got[0].header("request-deadline").unwrap_or_default().parse()?;
@@ -71,7 +71,7 @@
     let bytes = request("POST", "/once/a", "r-1", "Request-Deadline: 60000\r\n", "x");
     let call = tokio::spawn(exchange_owned(gateway.callers, bytes));
     wait_for(async || server.got().len() == 1).await?;
-    gateway.clock.suspend(Duration::from_secs(60));
+    gateway.clock.simulate_suspend(Duration::from_secs(60));
     expect_that!(call.await??.status, eq(504));
     Ok(())
 }
@@ -92,7 +92,7 @@
     let suspended = clock.clone();
     let suspend = async move {
         time::sleep(Duration::from_secs(2)).await;
-        suspended.suspend(Duration::from_secs(3_600));
+        suspended.simulate_suspend(Duration::from_secs(3_600));
     };
     tokio::join!(clock.sleep_until(until), suspend);
     expect_that!(begun.elapsed(), le(Duration::from_secs(4)));
@@ -137,7 +137,7 @@
     }
     time::sleep(Duration::from_millis(400)).await;
     is_sending.store(false, Ordering::SeqCst);
-    gateway.clock.suspend(Duration::from_millis(1_500));
+    gateway.clock.simulate_suspend(Duration::from_millis(1_500));
     time::sleep(Duration::from_millis(150)).await;
     is_sending.store(true, Ordering::SeqCst);
     for call in calls {
