--- a/src/mastweir/sidecar/aggregation.rs
+++ b/src/mastweir/sidecar/aggregation.rs
@@ -1,4 +1,9 @@
-//! What answers a poll: the counts since an earlier one, and a section's ranks together.
+//! Data from which a sidecar answers polls: the counts of expert selections at earlier polls, and
+//! the answers of the subtree that it aggregates.
+//!
+//! A rank answers with the selections since an earlier poll ([`SelectionHistory`]). An aggregator
+//! collects such answers of its subtree, and passes on their sum as soon as it is complete or
+//! overtaken by the next poll ([`Aggregator`]).
 
 use crate::{
     gateway::message::{Counts, Poll, RankReport, RankStatus},
@@ -9,13 +14,13 @@
     net::IpAddr,
 };
 
-/// SelectionHistory that are kept: a poll refers to the one before.
+/// Readings that are kept. A poll refers to the previous one.
 const HISTORY_LEN: usize = 4;
-/// Counts that are taken in: 128 sets of 1,024 experts. What comes from elsewhere must not
-/// take increase memory than that.
+/// Most counts that are accepted from other processes, to bound memory: 128 sets of 1,024
+/// experts.
 const COUNTS_MAX: usize = 1 << 17;
 
-/// What requests had chosen at earlier polls.
+/// Counts of expert selections at earlier polls of one coordinator.
 #[derive(Debug, Default)]
 pub struct SelectionHistory {
     token: u64,
@@ -23,8 +28,9 @@
 }
 
 impl SelectionHistory {
-    /// What was chosen since a poll, of so many sets from `first` on; nothing if that
-    /// poll did not come here. Keeps what was read now.
+    /// Returns the selections since an earlier poll in the sets that the new poll requests, out
+    /// of `sets`. Empty if the earlier poll was not received here, or was before a restart of the
+    /// server or the group. Records the new reading.
     pub fn counts_since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
         if std::mem::replace(&mut self.token, poll.token) != poll.token {
             self.entries.clear();
@@ -48,44 +54,43 @@
     let (first, count) = poll.sets.unwrap_or_default();
     let experts = now.counts.len() / sets.max(1);
     let increase = |at: usize| {
-        // A server that restarted counts from zero.
+        // The counts may have been reset to zero.
         let (now, before) = (now.counts[at], before.counts[at]);
         let since = if now >= before { now - before } else { now };
         u32::try_from(since).unwrap_or(u32::MAX)
     };
-    let asked = (0..usize::from(count)).map(|set| (usize::from(first) + set) % sets.max(1));
-    asked.flat_map(|set| (set * experts..(set + 1) * experts).map(increase)).collect()
+    let requested = (0..usize::from(count)).map(|set| (usize::from(first) + set) % sets.max(1));
+    requested.flat_map(|set| (set * experts..(set + 1) * experts).map(increase)).collect()
 }
 
-/// A section's answers to one poll, while they come in.
+/// Answers of a subtree to one poll.
 #[derive(Debug)]
 pub struct Aggregation {
-    /// The poll.
     pub poll: Poll,
     waiting: HashSet<IpAddr>,
     /// The ranks that have answered.
     pub ranks: Vec<RankStatus>,
-    /// The sum of what they counted.
+    /// Sums of their counts.
     pub sums: Vec<u32>,
 }
 
 impl Aggregation {
-    /// None has answered yet.
+    /// Creates an aggregation that waits for answers from the given addresses.
     pub fn new(poll: Poll, waiting: HashSet<IpAddr>) -> Self {
         Self { poll, waiting, ranks: Vec::new(), sums: Vec::new() }
     }
 
-    /// Whether it is for the poll of that number.
+    /// Returns whether this is for the poll with the given number.
     pub const fn is_for(&self, round: u64) -> bool {
         self.poll.round == round
     }
 
-    /// Whether all have answered.
+    /// Returns whether all ranks have answered.
     pub fn is_complete(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes an answer in.
+    /// Adds a rank's answer.
     pub fn add(&mut self, from: IpAddr, report: RankReport) {
         add_counts(&mut self.sums, &report.counts);
         self.ranks.extend(report.rank);
@@ -95,24 +100,23 @@
     }
 }
 
-/// The answers of a section that its head has not sent on.
+/// Answers of a subtree that its aggregator has not sent yet.
 #[derive(Debug, Default)]
 pub struct Aggregator(Option<Aggregation>);
 
 impl Aggregator {
-    /// Begins to gather for another poll. What had come for the one before is given back,
-    /// to be sent on: while a change is under way polls follow each other sooner than a
-    /// silent rank is given up, and nothing of its section was heard.
+    /// Begins the aggregation for a new poll. Returns the unfinished one of the previous poll,
+    /// which should be sent: during a map change polls follow each other faster than a silent
+    /// rank times out.
     pub fn begin(&mut self, poll: Poll, waiting: HashSet<IpAddr>) -> Option<Aggregation> {
         self.0.replace(Aggregation::new(poll, waiting))
     }
 
-    /// Takes an answer in; the whole, if it was the last. Gives it back if it is for
-    /// nothing that is gathered.
+    /// Adds a rank's answer. Returns the aggregation if this completes it.
     ///
     /// # Errors
     ///
-    /// The report, if no poll that is being gathered has its number and group.
+    /// The report, if no aggregation in progress has its poll number and group.
     pub fn add(
         &mut self,
         from: IpAddr,
@@ -126,13 +130,14 @@
         Ok(if is_complete { self.0.take() } else { None })
     }
 
-    /// What has come for a poll, complete or not; none if it was sent on.
+    /// Ends the aggregation for a poll, complete or not, and returns it. `None` if it was sent
+    /// before.
     pub fn finish(&mut self, round: u64) -> Option<Aggregation> {
         self.0.take_if(|open| open.is_for(round))
     }
 }
 
-/// Adds counts to sums, at their slots.
+/// Adds counts to sums, starting at their offset. Ignores counts beyond the accepted maximum.
 pub fn add_counts(sums: &mut Vec<u32>, counts: &Counts) {
     let offset = counts.offset as usize;
     let end = offset + counts.counts.len();
--- a/src/mastweir/sidecar/coordinator.rs
+++ b/src/mastweir/sidecar/coordinator.rs
@@ -1,4 +1,10 @@
-//! The coordinator of a group: plans maps, and has them put in force.
+//! The coordinator of a group: plans expert maps and puts them in force.
+//!
+//! Runs in the sidecar that holds the group's lease. Each step takes the latest states of the
+//! ranks, looks up the map in force where it is unknown, plans a better map if demand has
+//! shifted, and sends the orders that [`decide`] returns. Meanwhile gateways get forecasts of the
+//! time of a pass. Coordination ends when a higher fencing token is seen or the server leaves the
+//! group.
 
 use super::{
     orders::{self, OrderContext},
@@ -35,42 +41,46 @@
 };
 use tokio::{task, time};
 
-/// Pause between two looks while nothing is under way, and while something is.
+/// Time between two steps while no map change is in progress.
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
+/// Time between two steps during a map change.
 const BUSY_PERIOD: Duration = Duration::from_millis(15);
-/// A change that has not begun to pause the group after this time is dropped:
-/// demand has moved on.
+/// A map change that has not begun to pause the group after this time is dropped, since demand
+/// has changed.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often gateways are told of the pace meanwhile: one pass.
+/// Time between two forecasts during a map change: about one pass.
 const FORECAST_PERIOD: Duration = Duration::from_millis(80);
-/// Steps of a plan between two looks at what else there is to do: half a millisecond.
+/// Steps of the planner between two yields to other tasks: about half a millisecond.
 const PLAN_STEPS: usize = 150;
 
 pub(super) struct Coordinator<'a> {
     pub(super) sidecar: &'a Sidecar,
     pub(super) shared: &'a SharedGroup,
+    /// The map in force with its version.
     pub(super) map: Option<(u64, Arc<GroupMap>)>,
+    /// The map to put in force, and since when.
     target: Option<(TargetMap, Uptime)>,
+    /// Number of maps that this coordinator has chosen.
     version_count: u64,
+    /// Whether a rank has refused an order because it has seen a higher fencing token.
     is_fenced: bool,
-    /// How many orders get no answer.
+    /// Share of orders without an answer.
     order_loss: OrderLoss,
-    /// Whether a part of the map is a guess.
+    /// Whether a part of the map is inferred, since a rank could not be read.
     pub(super) is_inferred: bool,
-    /// Shifts of demand that were seen to.
+    /// Shifts of demand that were taken into account.
     shifts_seen: u32,
-    /// When gateways were last told of the pace, and how often.
     last_forecast: Uptime,
     forecast_count: u64,
-    /// Where the coordinator with the token before is, if that is known.
+    /// Address of the coordinator with the previous fencing token, if known.
     previous: Option<IpAddr>,
-    /// Servers whose sidecars need all of a map.
-    full_map: HashSet<SocketAddr>,
+    /// Servers whose sidecars lack the base map and need a full one.
+    without_base: HashSet<SocketAddr>,
 }
 
-/// Coordinates until another takes over.
+/// Coordinates the group until another coordinator takes over.
 pub async fn run(sidecar: &Sidecar, shared: &SharedGroup, previous: Option<IpAddr>) {
-    let mut own = Coordinator {
+    let mut coordinator = Coordinator {
         sidecar,
         shared,
         map: None,
@@ -83,31 +93,31 @@
         last_forecast: Uptime::default(),
         forecast_count: 0,
         previous: previous.filter(|ip| *ip != sidecar.ip),
-        full_map: HashSet::new(),
+        without_base: HashSet::new(),
     };
-    while !own.is_over() {
-        own.query_silent();
-        let busy = own.step().await;
-        shared.is_busy.set(busy);
-        let pause = if busy { BUSY_PERIOD } else { IDLE_PERIOD };
-        // A report ends the pause.
-        let _ = time::timeout(pause, shared.answered.notified()).await;
+    while !coordinator.is_over() {
+        coordinator.query_silent();
+        let is_busy = coordinator.step().await;
+        shared.is_busy.set(is_busy);
+        let wait = if is_busy { BUSY_PERIOD } else { IDLE_PERIOD };
+        // An answer of a rank ends the wait.
+        let _ = time::timeout(wait, shared.answered.notified()).await;
     }
 }
 
 impl Coordinator<'_> {
-    /// Whether another coordinates, or the server beside has left the group.
+    /// Returns whether another coordinator has taken over or the server has left the group.
     fn is_over(&self) -> bool {
-        let heard = self.sidecar.coordinator.borrow();
+        let known = self.sidecar.coordinator.borrow();
         let (group, token) = (&self.shared.group, self.shared.token);
         let is_superseded =
-            heard.as_ref().is_some_and(|heard| heard.coordinates(group) && heard.token > token);
+            known.as_ref().is_some_and(|known| known.coordinates(group) && known.token > token);
         let state = self.sidecar.engine_state.borrow();
         let is_member = state.as_ref().is_some_and(|state| state.group.as_ref() == Some(group));
         is_superseded || self.is_fenced || !is_member
     }
 
-    /// Asks servers whose sidecars are silent themselves, and takes in what they said.
+    /// Queries servers whose sidecars are silent, and records the results that have arrived.
     fn query_silent(&self) {
         let mut state = self.shared.state.borrow_mut();
         let state = &mut *state;
@@ -125,7 +135,7 @@
         self.shared.state.borrow().demand.as_ref().map_or(0, RecentDemand::shifts)
     }
 
-    /// One step. True if something is under way.
+    /// Takes one step. Returns whether a map change is in progress.
     async fn step(&mut self) -> bool {
         let target_version = self.target.as_ref().map(|(target, _)| target.version);
         let now = self.sidecar.clock.now();
@@ -136,11 +146,11 @@
         let is_uniform = known.iter().all(|state| state.map == version);
         self.update_target(&known);
         if !is_uniform {
-            // Some states are from before a switch, some from after it.
+            // Some states are from before a map change, some from after it.
             return true;
         }
         let is_unknown = self.map.as_ref().is_none_or(|(known, _)| *known != version);
-        // With more than one rank missing there is no map to put together.
+        // With more than one rank missing the map can't be inferred.
         let is_readable = known.len() + 1 >= states.len();
         if (is_unknown && is_readable) || (is_complete && self.is_inferred) {
             self.find_map(version, states.len()).await;
@@ -177,7 +187,7 @@
         self.shared.state.borrow().ranks.rank_at(self.sidecar.server).unwrap_or(0)
     }
 
-    /// The rank of the coordinator before, if it is the one that can't be reached.
+    /// Returns the rank of the previous coordinator, if it is the rank that can't be reached.
     fn predecessor(&self, states: &[Option<RankState>]) -> Option<usize> {
         let previous = self.previous?;
         let is_fresh =
@@ -185,8 +195,8 @@
         if is_fresh { None } else { states.iter().position(Option::is_none) }
     }
 
-    /// Forgets a change that is in force, that is too late, or whose loads are for a
-    /// demand that has shifted: those of the next plan take their place.
+    /// Clears the target if it is in force, is outdated, or is for a demand that has shifted
+    /// since.
     fn update_target(&mut self, states: &[&RankState]) {
         let Some((target, since)) = &self.target else {
             self.shifts_seen = self.shift_count();
@@ -213,8 +223,8 @@
         }
     }
 
-    /// Makes a plan, a part at a time: polls and answers go on meanwhile. One that
-    /// popularity has left behind is not target.
+    /// Plans a map in small parts, so that polls and answers are handled meanwhile. The plan is
+    /// discarded if demand shifts during it.
     async fn plan(&mut self, states: &[&RankState]) {
         let is_idle =
             states.iter().all(|state| state.scheduled.is_none() && state.paused.is_none());
@@ -239,8 +249,8 @@
         self.set_target(Arc::new(plan.map));
     }
 
-    /// Demand by set and expert, paces of the ranks, and requests at all of them; none
-    /// before enough was counted.
+    /// Returns the demand by set and expert, the slowdowns of the ranks, and the number of
+    /// requests at all of them. `None` until enough selections were counted.
     fn demand(&self, ranks: usize) -> Option<(Vec<Vec<f64>>, Vec<f64>, u32)> {
         let state = self.shared.state.borrow();
         let now = self.sidecar.clock.now();
@@ -248,8 +258,8 @@
         Some((demand.by_set(), state.ranks.slowdowns(ranks), state.ranks.total_load()))
     }
 
-    /// Tells gateways how long passes are while the map doesn't fit demand: they see it
-    /// only some passes later.
+    /// Sends the expected time of a pass to gateways, which would measure it only some passes
+    /// later.
     fn send_forecast(&mut self, ranks: usize) {
         let now = self.sidecar.clock.now();
         if now.since(self.last_forecast) < FORECAST_PERIOD {
@@ -275,13 +285,13 @@
         self.target = Some((TargetMap { version, map }, self.sidecar.clock.now()));
     }
 
-    /// Gives orders to ranks, all at once, and takes their states in.
+    /// Sends orders to ranks, all at once, and records the states that they reply.
     async fn send_orders(&mut self, states: &[Option<RankState>], orders: Vec<(usize, OrderKind)>) {
         let base = self.map.as_ref().map(|(version, map)| (*version, &**map));
-        let context = OrderContext { states, base, full_map: &self.full_map };
-        // What ranks reply is as old as the order, if this process stood still.
+        let context = OrderContext { states, base, without_base: &self.without_base };
+        // If this process was suspended, the replies are as old as the orders.
         let now = self.sidecar.clock.now();
-        let loads = orders.iter().find_map(|(_, kind)| match kind {
+        let loaded_version = orders.iter().find_map(|(_, kind)| match kind {
             OrderKind::Load { version, .. } => Some(*version),
             _ => None,
         });
@@ -289,7 +299,7 @@
         let mut state = self.shared.state.borrow_mut();
         let ranks = &mut state.ranks;
         for (rank, epoch, reply) in replies {
-            if let (Some(version), Some(OrderOutcome::Accepted)) = (loads, reply.outcome) {
+            if let (Some(version), Some(OrderOutcome::Accepted)) = (loaded_version, reply.outcome) {
                 ranks.record_load(rank, version, epoch, now);
             }
             (0..reply.unanswered).for_each(|_| self.order_loss.record(false, now));
@@ -300,9 +310,9 @@
             let Some(view) = ranks.get(rank) else { continue };
             let server = view.server;
             if reply.needs_map {
-                self.full_map.insert(server);
+                self.without_base.insert(server);
             } else if reply.outcome.is_some() {
-                self.full_map.remove(&server);
+                self.without_base.remove(&server);
             }
             let read_at = view.read_at.map(|_| reply.read_at);
             if let Some(state) = reply.state {
--- a/src/mastweir/sidecar/election.rs
+++ b/src/mastweir/sidecar/election.rs
@@ -1,10 +1,9 @@
-//! Which sidecar of a group is its coordinator.
+//! Elects the coordinator of a group among the sidecars of its ranks.
 //!
-//! The store gives out tokens, one higher each time, in the group's lease; ranks
-//! refuse orders under a lower token than they have seen. So the token makes a
-//! coordinator safe, and the lease need not be renewed: that a coordinator lives
-//! is heard from its polls, or from gateways that heard of it, and the store is asked
-//! only when one is missing ([`Election`]).
+//! The group's lease in the store holds a fencing token, which rises with each holder. Ranks
+//! refuse orders with a lower token than they have seen, so an outdated coordinator can do no
+//! harm and the lease needs no renewal. A coordinator shows that it is alive by its polls, which
+//! gateways report as well; the store is asked only when polls are missing ([`Election`]).
 
 use super::{
     coordinator,
@@ -29,15 +28,15 @@
     task, time,
 };
 
-/// How often it is looked for.
+/// Time between two checks for a coordinator.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Pause after the store gave no lease.
+/// Pause after the lease could not be taken.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Group, number and size of the group of the server beside.
+/// Group, rank and size of the group of the local server.
 type Membership = (String, u32, u32);
 
-/// Looks for a coordinator, and becomes it if there is none, for ever.
+/// Watches for a coordinator and becomes the coordinator if there is none. Never returns.
 pub async fn elect(sidecar: Rc<Sidecar>) {
     let Some(mut reports) = sidecar.answer_rx.borrow_mut().take() else { return };
     let mut election = Election::new(sidecar.clock.now());
@@ -62,7 +61,7 @@
             continue;
         }
         record_sign(&sidecar, &group, &mut election);
-        // It may have been heard while the gateway was asked.
+        // The coordinator may have polled while the gateway was asked.
         if !election.is_due(rank, size, sidecar.clock.now()) {
             continue;
         }
@@ -85,7 +84,7 @@
     }
 }
 
-/// Whether a gateway has heard of another coordinator just now.
+/// Returns whether a gateway has recently received a sign of another coordinator.
 fn has_coordinator(sidecar: &Sidecar, view: &GroupView) -> bool {
     let Some(coordinator) = view.coordinator.clone() else { return false };
     let is_fresh = u128::from(coordinator.age_ms) < COORDINATOR_TIMEOUT.as_millis();
@@ -94,7 +93,7 @@
     is_fresh && is_other
 }
 
-/// Coordinates until another takes over.
+/// Coordinates the group until another coordinator takes over.
 async fn coordinate(
     sidecar: &Rc<Sidecar>,
     group: &str,
@@ -104,7 +103,7 @@
 ) {
     info!(sidecar.log, "coordinator now"; "group" => group, "token" => token);
     while reports.try_recv().is_ok() {}
-    // One that came between was not heard, and where it is isn't known.
+    // The address is only known if no coordinator was elected in between.
     let known = sidecar.coordinator.borrow().clone();
     let previous = known.filter(|known| known.coordinates(group) && known.token + 1 == token);
     let previous = previous.map(|known| known.ip);
@@ -115,13 +114,13 @@
         is_busy: Cell::new(false),
         answered: Notify::new(),
     };
-    // The first poll tells all of them at once: one that is not heard in time is followed
-    // by another, and what stands still with the one before is then not known to be its.
+    // The members are recorded first, so that the first poll reaches all of them. Members that
+    // don't receive it in time would elect another coordinator.
     shared.state.borrow_mut().record_view(view, sidecar.clock.now());
     previous.into_iter().for_each(|ip| mark_failed(sidecar, &shared, ip));
     tokio::select! {
         () = coordinator::run(sidecar, &shared, previous) => (),
-        // Also while it waits for the answer to an order.
+        // Polls continue while the coordinator waits for replies to orders.
         () = poller::poll_group(sidecar, &shared) => (),
         () = poller::receive_answers(sidecar, &shared, reports) => (),
         () = poller::refresh_members(sidecar, &shared) => (),
@@ -129,8 +128,8 @@
     info!(sidecar.log, "coordinator no more"; "group" => group, "token" => token);
 }
 
-/// The coordinator before was not heard: as the head of its section it would hold up the
-/// first orders for 0.45 s, while its group may stand still.
+/// Marks the members at the address of the previous coordinator as failed. As an aggregator it
+/// would delay the first orders by a timeout, while the group may be paused.
 fn mark_failed(sidecar: &Sidecar, shared: &SharedGroup, ip: IpAddr) {
     let now = sidecar.clock.now();
     let mut state = shared.state.borrow_mut();
@@ -139,7 +138,7 @@
     servers.into_iter().for_each(|server| state.record_failure(server, now));
 }
 
-/// Group and rank of the server beside.
+/// Returns the group and rank of the local server.
 fn membership(sidecar: &Sidecar) -> Option<Membership> {
     let state = sidecar.engine_state.borrow();
     let state = state.as_ref()?;
@@ -147,8 +146,9 @@
     Some((state.group.clone()?, rank.rank, rank.size))
 }
 
-/// Takes the group's lease, with a token above the last one. Not if another has taken it
-/// since one was last heard: that one is about to be heard.
+/// Takes the group's lease with a higher fencing token than the last one. Returns `None` if
+/// another sidecar has taken the lease since a coordinator was last seen: its polls are about to
+/// arrive.
 async fn take_lease(
     sidecar: &Rc<Sidecar>,
     group: &str,
@@ -171,7 +171,7 @@
             Ok(Some(token))
         }
         Err(StoreError::Call(error)) => {
-            // It may have landed all the same, in that era.
+            // The write may have succeeded without an answer.
             let now = sidecar.store.lease(&name).await?;
             let is_ours = |now: &StoredLease| now.epoch == token && now.holder == sidecar.name;
             let ours =
@@ -182,7 +182,7 @@
     }
 }
 
-/// Clears what earlier eras left of a lease: one object for each.
+/// Deletes the lease objects of older generations of the store.
 async fn clear_older_leases(sidecar: Rc<Sidecar>, name: String, generation: u64) {
     if let Err(error) = sidecar.store.delete_older_leases(&name, generation).await {
         info!(sidecar.log, "older leases not cleared"; "lease" => &name, "era" => generation,
@@ -190,6 +190,8 @@
     }
 }
 
+/// Returns the name of a group's lease, in which other characters than ASCII letters, digits and
+/// `-` are replaced.
 fn lease_name(group: &str) -> String {
     let safe = |char: char| if char.is_ascii_alphanumeric() || char == '-' { char } else { '-' };
     group.chars().map(safe).collect()
--- a/src/mastweir/sidecar/group_state.rs
+++ b/src/mastweir/sidecar/group_state.rs
@@ -1,5 +1,7 @@
-//! What a coordinator knows of its group: its members, their states, and what their
-//! requests chose.
+//! State of a group as its coordinator knows it: members, states of the ranks, and expert demand.
+//!
+//! Used in the sidecar that coordinates the group. `poller` sends the polls whose answers are
+//! recorded here; `coordinator` reads the state.
 
 use super::{aggregation::add_counts, rank_views::RankViews};
 use crate::gateway::message::{Counts, GroupView, Message, RankStatus};
@@ -14,46 +16,46 @@
     time::Duration,
 };
 
-/// Time between two polls for counts; a pass of a group with places in use lasts as long.
+/// Time between two polls for counts: about one pass of a busy group.
 pub const POLL_PERIOD: Duration = Duration::from_millis(100);
-/// Counts that one poll asks for in large groups, in turn over the sets: as a sum of ten
-/// ranks they take 2 KB. Behind a shift of demand, which shows in any set, all are asked
-/// for until a plan can be made.
+/// Counts that one poll requests in a large group, in turn over the sets, to bound the size of
+/// answers. After a shift of demand, which shows in any set, all of them are requested until a
+/// plan can be made.
 const COUNTS_PER_POLL: usize = 800;
-/// A member that neither answers nor is named by the gateways for this long has left.
+/// A member that neither answers nor is listed by gateways for this time has left.
 const MEMBER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The counts that answer one poll.
+/// Sums of the counts that answer one poll.
 #[derive(Debug)]
 struct CountSums {
+    /// First set that was requested.
     first: usize,
     counts: Vec<u32>,
-    /// Sections that have not answered.
+    /// Subtrees that have not answered.
     pending: usize,
 }
 
-/// A group, as its coordinator knows it.
+/// A group as its coordinator knows it.
 #[derive(Debug)]
 pub struct GroupState {
-    /// The ranks' states.
     pub ranks: RankViews,
-    /// The members.
     pub members: GroupMembers,
-    /// What requests choose.
+    /// Demand for experts. `None` until counts are requested.
     pub demand: Option<RecentDemand>,
-    /// Number of the last poll, and of the last that asked for counts.
+    /// Number of the last poll.
     pub round: u64,
+    /// Number of the last poll that requested counts.
     pub counted_round: u64,
     last_poll: Uptime,
     subtrees: Vec<Subtree>,
     sums: Option<CountSums>,
-    /// The set that is asked for next.
+    /// First set of the next request for counts.
     next_set: usize,
     experts: usize,
 }
 
 impl GroupState {
-    /// Nothing known yet, at a coordinator's start.
+    /// Creates the state of a group at the start of its coordinator.
     pub fn new(started: Uptime) -> Self {
         Self {
             ranks: RankViews::new(started),
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Takes in what gateways know of the group.
+    /// Records the members that a gateway lists.
     pub fn record_view(&mut self, view: &GroupView, now: Uptime) {
         for (server, hall) in &view.servers {
             let member = self.members.entry(*server).or_default();
@@ -87,8 +89,8 @@
         self.members.retain(|_, member| is_current(member));
     }
 
-    /// Begins a poll: its number and the sections that are asked. Heads that have not
-    /// answered the one before are passed over for a while.
+    /// Begins a poll and returns the subtrees to send it to. Aggregators that have not answered
+    /// the previous poll within half a poll period are marked as failed.
     pub fn begin_poll(&mut self, now: Uptime) -> &[Subtree] {
         for aggregator in self.subtrees.iter().filter_map(|subtree| subtree.first()) {
             let Some(member) = self.members.get_mut(aggregator) else { continue };
@@ -103,8 +105,8 @@
         &self.subtrees
     }
 
-    /// Which sets a poll asks for: the first, and how many. What the poll before brought
-    /// is taken in, complete or not.
+    /// Chooses the sets that a poll requests: the first, and how many. Counts that the previous
+    /// poll brought are added to the demand, complete or not.
     pub fn request_counts(&mut self, model: &Model, now: Uptime) -> (u16, u16) {
         self.flush_sums(now);
         let new = || RecentDemand::new(model.sets, model.experts, POLL_PERIOD);
@@ -120,7 +122,7 @@
         (to_u16(first), to_u16(count))
     }
 
-    /// Takes an answer in.
+    /// Records an answer to a poll.
     pub fn record_answer(&mut self, message: Message, group: &str, now: Uptime) {
         match message {
             Message::Rank(report) if report.group == group => {
@@ -164,19 +166,19 @@
         demand.add(sums.first * self.experts, &sums.counts, now);
     }
 
-    /// Sections as they are now.
+    /// Returns the current subtrees of the group.
     pub fn subtrees(&self, now: Uptime) -> Vec<Subtree> {
         subtrees(&self.members, now)
     }
 
-    /// A aggregator did not answer.
+    /// Records that an aggregator did not answer.
     pub fn record_failure(&mut self, aggregator: SocketAddr, now: Uptime) {
         if let Some(member) = self.members.get_mut(&aggregator) {
             member.last_failure = Some(now);
         }
     }
 
-    /// Addresses of the sidecars of a section but its aggregator.
+    /// Returns the addresses of the sidecars of a subtree except its aggregator.
     pub fn other_members(subtree: &Subtree) -> Vec<IpAddr> {
         subtree.iter().skip(1).map(SocketAddr::ip).collect()
     }
--- a/src/mastweir/sidecar/map_lookup.rs
+++ b/src/mastweir/sidecar/map_lookup.rs
@@ -1,4 +1,8 @@
-//! How a coordinator finds the map in force.
+//! Finds the expert map in force of a group, for its coordinator.
+//!
+//! The map comes from the cache of this sidecar, from the cache of another sidecar, or, for
+//! version 0, from the rule by which initial maps are made. If none of these has it, the map is
+//! read rank by rank.
 
 use super::{coordinator::Coordinator, plan, rank_views::RankView};
 use crate::net::internal;
@@ -10,14 +14,14 @@
 use slog::{info, warn};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// Reading the map of a rank in another hall.
+/// Covers reading the map of a rank in another hall.
 const READ_TIMEOUT: Duration = Duration::from_millis(600);
-/// RankViews that are asked for all of the map, one after the other.
+/// Sidecars that are tried for the full map.
 const FULL_MAP_ATTEMPTS: usize = 3;
 
 impl Coordinator<'_> {
-    /// Finds the map in force: this sidecar was cached of it, or another was; in a new life
-    /// of the group it is dealt out in turn; or it is read rank by rank.
+    /// Finds the map in force of the given version. Leaves the known map unchanged if it can't be
+    /// found.
     pub(super) async fn find_map(&mut self, version: u64, ranks: usize) {
         if self.map.as_ref().is_none_or(|(known, _)| *known != version) {
             let cached = self.sidecar.maps.borrow().get(version);
@@ -44,7 +48,7 @@
         self.map = Some((version, map));
     }
 
-    /// The map of a group's new life, if the server beside holds its part of it.
+    /// Returns the initial map of a group, if the experts of the local server agree with it.
     async fn initial_map(&self, ranks: usize) -> Option<Arc<GroupMap>> {
         let (sets, experts) =
             self.sidecar.model.borrow().as_ref().map(|model| (model.sets, model.experts))?;
@@ -63,7 +67,7 @@
         (version == 0 && is_initial).then(|| Arc::new(map))
     }
 
-    /// All of the map, from a sidecar that was cached of it.
+    /// Fetches the full map from another sidecar that has it cached.
     async fn fetch_full_map(&self, version: u64) -> Option<Arc<GroupMap>> {
         let now = self.sidecar.clock.now();
         let servers: Vec<SocketAddr> = {
@@ -88,10 +92,10 @@
         None
     }
 
-    /// Reads the map in force from the ranks. A rank that can't be reached holds at
-    /// least what no other does; the map is read again when it is back.
+    /// Reads the map in force from the ranks. If one rank can't be reached, its experts are
+    /// inferred: those that no other rank has. The map is read again when all ranks answer.
     async fn read_map(&mut self, version: u64, ranks: usize) {
-        // One that is silent would hold up the others.
+        // Ranks without a recent state would delay the others.
         let now = self.sidecar.clock.now();
         let fresh: Vec<RankView> = self.shared.state.borrow().ranks.fresh(now).cloned().collect();
         let reads = fresh.iter().map(async |view| (view.state.rank, self.read_rank(view).await));
--- a/src/mastweir/sidecar/mod.rs
+++ b/src/mastweir/sidecar/mod.rs
@@ -1,11 +1,15 @@
-//! The sidecar: beside a model server, on its instance.
+//! The sidecar: a process on each model server's instance.
 //!
-//! It reads the server's state and what its requests chose, which is free and
-//! fresh only there; it tells its hall's relays (`rank`), answers its coordinator's polls
-//! (`poll`), and carries out orders (`carry`). One sidecar of each group is the
-//! coordinator (`lead`): `polling` asks the ranks, `known` and `ranks` are what they said,
-//! `coordinate` goes step by step, `orders` gives orders. What it decides is in
-//! [`mastweir_core::switch`] and [`mastweir_core::experts::layer_planner`].
+//! `server_watch` reads the server's state, sends it to the relay gateways of the hall and
+//! receives datagrams. `poll_answer` answers the polls of the group's coordinator with the state
+//! and the expert selections of the rank; `aggregation` combines the answers of a subtree.
+//! `order_executor` executes the coordinator's orders, such as to load an expert map.
+//!
+//! One sidecar of each group is the coordinator (`election`). `poller` polls the ranks,
+//! `group_state` and `rank_views` hold their answers, `coordinator` plans expert maps and puts
+//! them in force, `map_lookup` finds the map in force, and `orders` sends orders to the ranks.
+//! The decisions are made in [`mastweir_core::switch`] and
+//! [`mastweir_core::experts::layer_planner`].
 
 pub mod aggregation;
 mod coordinator;
@@ -34,22 +38,20 @@
     task,
 };
 
-/// What a sidecar is made from.
+/// Configuration of a sidecar.
 #[derive(Clone, Debug)]
 pub struct SidecarOptions {
-    /// Where it runs.
     pub settings: Settings,
-    /// The model server on its instance.
+    /// Address of the model server.
     pub engine: SocketAddr,
-    /// The log.
     pub log: Logger,
 }
 
-/// Runs a sidecar until it is told to stop.
+/// Runs a sidecar until `stop` completes.
 ///
 /// # Errors
 ///
-/// Its address can't be used.
+/// If the address of the sidecar can't be bound.
 pub async fn run(options: &SidecarOptions, stop: impl Future<Output = ()>) -> eyre::Result<()> {
     let own = SocketAddr::new(options.settings.ip, options.settings.internal_port);
     let listener = TcpListener::bind(own).await.wrap_err_with(|| format!("listening on {own}"))?;
--- a/src/mastweir/sidecar/order_executor.rs
+++ b/src/mastweir/sidecar/order_executor.rs
@@ -1,4 +1,8 @@
-//! Carrying out a coordinator's orders, and passing on those for the section.
+//! Executes orders of a group's coordinator, and forwards those for other ranks of the subtree.
+//!
+//! Runs in the sidecar of each rank and serves the internal calls of other sidecars. An order
+//! names the epoch, version, pass and number of orders accepted before, so a repeated order
+//! takes effect only once.
 
 use super::state::Sidecar;
 use crate::{
@@ -14,16 +18,16 @@
 use slog::warn;
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// An order goes to a sidecar of the same hall and its server, and back; the coordinator
-/// waits 0.2 s longer than that for what all of a section answered.
+/// Covers the way to a sidecar of the same hall and its server, and back. Shorter than the
+/// coordinator's wait for the whole batch.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Times that an order is given, beside its server, before its coordinator is told that it
-/// got no answer. With a tenth of them lost a round of 63 ranks lacks one in 160 rounds; given
-/// once it lacks six in each, and a round costs its coordinator the slowest rank's wait.
+/// Attempts to send an order to a server before it is reported as unanswered. Repeating it here
+/// is cheaper than another batch, which takes as long as its slowest rank.
 const ATTEMPTS_MAX: u32 = 4;
 
-/// Aggregator another sidecar's call.
+/// Handles a call of another sidecar. Returns the encoded answer, or `None` for an unknown path,
+/// a malformed body or data that is not there.
 pub async fn handle_call(sidecar: &Sidecar, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     match path {
         "/orders" => {
@@ -49,7 +53,7 @@
     }
 }
 
-/// Carries out the order for the server beside, and passes the others on.
+/// Executes the order for the local server and forwards the others.
 async fn execute_batch(sidecar: &Sidecar, batch: OrderBatch) -> BatchReplies {
     let OrderBatch { map, orders } = batch;
     let results = orders.into_iter().map(async |order| {
@@ -100,8 +104,8 @@
     execute(sidecar, &sidecar.engine, &Order { token, order_seq, epoch, kind }).await
 }
 
-/// Keeps the map of a group's new life, which is the base of the first changes; the digest
-/// of what comes out tells if it was another.
+/// Caches the initial map of the group's epoch, which is the base of its first map changes. If it
+/// is not the real one, the digest of the resulting map differs.
 fn cache_initial_map(sidecar: &Sidecar) {
     let mut maps = sidecar.maps.borrow_mut();
     let state = sidecar.engine_state.borrow();
@@ -113,26 +117,23 @@
     }
 }
 
-/// Gives an order to a server, again while it gets no answer, and reads its state after it.
-///
-/// An order and its repetition name the same life, version, pass and number of orders
-/// taken, so only one of them counts, however late the other comes.
+/// Sends an order to a server, repeats it while there is no answer, and reads the state after it.
 pub async fn execute(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> OrderReply {
     let sent = send_order(sidecar, engine, order).await;
     sidecar.state_changed.notify_one();
     reply_with_state(sidecar, engine, sent).await
 }
 
-/// What came of giving an order.
+/// Result of sending an order.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SendResult {
-    /// What the server made of it; none if it gave no answer.
+    /// `None` if the server did not answer.
     pub outcome: Option<OrderOutcome>,
-    /// Times that it was given without an answer.
+    /// Number of attempts without an answer.
     pub unanswered: u32,
 }
 
-/// Gives an order to a server, some times over while it gets no answer.
+/// Sends an order to a server, with several attempts while the server does not answer.
 pub async fn send_order(sidecar: &Sidecar, engine: &EngineClient, order: &Order) -> SendResult {
     let mut unanswered = 0;
     while unanswered < ATTEMPTS_MAX {
@@ -151,7 +152,7 @@
     SendResult { outcome: None, unanswered }
 }
 
-/// What a rank made of an order, with its state now.
+/// Returns the reply to an order with the current state of the rank.
 async fn reply_with_state(
     sidecar: &Sidecar,
     engine: &EngineClient,
@@ -162,7 +163,7 @@
     OrderReply { outcome, state, read_at: sidecar.clock.now(), needs_map: false, unanswered }
 }
 
-/// Asks another sidecar for its rank's state.
+/// Requests the state of a rank from its sidecar.
 pub async fn fetch_state(sidecar: &Sidecar, server: SocketAddr, wait: Duration) -> OrderReply {
     let addr = sidecar.addr(server.ip());
     let call = internal::call(&sidecar.peer_pool, addr, "/state", &(), wait);
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -1,11 +1,10 @@
-//! How a coordinator's orders reach the servers of its group.
+//! Sends the coordinator's orders to the servers of its group.
 //!
-//! Those to load, schedule and cancel go to the heads of the group's subtrees, a batch
-//! each, and come back as one answer a subtree: a group of 96 ranks takes 10 calls and
-//! 10 times what changes in the map, where 96 whole maps took 0.6 s of the coordinator's
-//! link. Orders to pause and to resume go from here to the server itself: if a sidecar
-//! stood still right after giving one, nobody could end the pause. A rank whose sidecar is
-//! silent gets all of its orders so.
+//! Orders to load, schedule and cancel a map go to the aggregators of the group's subtrees in
+//! batches, which keeps the number of calls and the bytes sent for maps small. Orders to pause
+//! and resume go directly to the servers: if an aggregator stopped after it had forwarded a
+//! pause, nobody could end the pause. A rank whose sidecar is silent gets all of its orders
+//! directly.
 
 use super::{
     order_executor::{self, SendResult},
@@ -33,30 +32,31 @@
     time::Duration,
 };
 
-/// A batch goes to a aggregator in another hall, from there to its subtree, and back.
+/// Covers the way to an aggregator in another hall, to its subtree, and back.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What orders are given by.
+/// State of the group at the time of the orders.
 #[derive(Clone, Copy)]
 pub struct OrderContext<'a> {
-    /// The ranks' states, in order.
+    /// States of the ranks, in order. `None` where the state is not recent.
     pub states: &'a [Option<RankState>],
-    /// The map in force, with its version.
+    /// The map in force with its version.
     pub base: Option<(u64, &'a GroupMap)>,
-    /// Servers whose sidecars need all of a map.
-    pub full_map: &'a HashSet<SocketAddr>,
+    /// Servers whose sidecars lack the base map and need a full one.
+    pub without_base: &'a HashSet<SocketAddr>,
 }
 
-/// Number and epoch of a rank, and what became of its order.
+/// Number and epoch of a rank, and the reply to its order.
 pub type RankReply = (u32, u64, OrderReply);
 
+/// An order for one rank.
 struct RankOrder {
     rank: u32,
     view: RankView,
     order: Order,
 }
 
-/// Gives orders to ranks, all at once.
+/// Sends orders to ranks, all at once, and returns their replies.
 pub async fn send_orders(
     sidecar: &Sidecar,
     shared: &SharedGroup,
@@ -66,10 +66,10 @@
     let orders = address_orders(shared, context, orders);
     log_orders(sidecar, shared, &orders);
     let delta = map_delta(context, &orders);
-    let (through, direct): (Vec<RankOrder>, Vec<RankOrder>) =
+    let (forwarded, direct): (Vec<RankOrder>, Vec<RankOrder>) =
         orders.into_iter().partition(|order| is_forwarded(sidecar, order));
     let mut pending: Vec<LocalBoxFuture<'_, Vec<RankReply>>> = Vec::new();
-    for (aggregator, subtree) in by_aggregator(sidecar, shared, through) {
+    for (aggregator, subtree) in by_aggregator(sidecar, shared, forwarded) {
         let delta = delta.as_ref().map(|delta| delta_for(delta, &subtree, context));
         pending.push(send_batch(sidecar, shared, aggregator, subtree, delta).boxed_local());
     }
@@ -97,14 +97,14 @@
     orders.into_iter().filter_map(address).collect()
 }
 
-/// Whether an order goes through the rank's sidecar, rather than from here to its server.
+/// Returns whether an order goes to the rank's sidecar rather than directly to its server.
 fn is_forwarded(sidecar: &Sidecar, order: &RankOrder) -> bool {
     let is_forwardable =
         !matches!(order.order.kind, OrderKind::Pause { .. } | OrderKind::Resume { .. });
     is_forwardable && order.view.read_at.is_some() && order.view.server != sidecar.server
 }
 
-/// What changes in the map that is to be loaded, if one is.
+/// Returns the difference between the base map and the map to load, if any order loads one.
 fn map_delta(context: OrderContext<'_>, orders: &[RankOrder]) -> Option<MapDelta> {
     let (version, map) = orders.iter().find_map(|order| match &order.order.kind {
         OrderKind::Load { version, map } => Some((*version, map)),
@@ -114,21 +114,21 @@
     Some(delta.unwrap_or_else(|| MapDelta::full(version, map)))
 }
 
-/// The same with all of the map, if a sidecar of the subtree lacks the base.
+/// Returns the delta for a subtree: the full map if any of its sidecars lacks the base map.
 fn delta_for(delta: &MapDelta, subtree: &[RankOrder], context: OrderContext<'_>) -> MapDelta {
-    let lacks = subtree.iter().any(|order| context.full_map.contains(&order.view.server));
+    let needs_full = subtree.iter().any(|order| context.without_base.contains(&order.view.server));
     let map = subtree.iter().find_map(|order| match &order.order.kind {
         OrderKind::Load { map, .. } => Some(map),
         _ => None,
     });
-    match map.filter(|_| lacks) {
+    match map.filter(|_| needs_full) {
         Some(map) => MapDelta::full(delta.version, map),
         None => delta.clone(),
     }
 }
 
-/// Orders by the aggregator that passes them on: that of their subtree, or the first of them if
-/// that is silent itself.
+/// Groups orders by the aggregator that forwards them: that of the rank's subtree, or the first
+/// rank with an order if the aggregator itself has none.
 fn by_aggregator(
     sidecar: &Sidecar,
     shared: &SharedGroup,
@@ -151,7 +151,7 @@
     parts.into_iter().map(with_aggregator).collect()
 }
 
-/// Sends a batch to a aggregator.
+/// Sends a batch of orders to an aggregator.
 async fn send_batch(
     sidecar: &Sidecar,
     shared: &SharedGroup,
@@ -189,8 +189,8 @@
     Some(BatchOrder { server: order.view.server, token, order_seq, epoch, kind })
 }
 
-/// Gives an order from here, and asks the rank's sidecar, if that is heard, for its state
-/// after it.
+/// Sends an order directly to a server. If the rank's sidecar is not silent, the state after the
+/// order is fetched from the sidecar.
 async fn send_directly(sidecar: &Sidecar, order: RankOrder) -> Vec<RankReply> {
     let RankOrder { rank, view, order } = order;
     let engine = EngineClient::new(view.server, sidecar.peer_pool.clone());
--- a/src/mastweir/sidecar/plan.rs
+++ b/src/mastweir/sidecar/plan.rs
@@ -1,4 +1,5 @@
-//! What goes into a plan: the group's map, its pressure, and the planner's weights.
+//! Inputs of the expert planner in a sidecar that coordinates a group: the group's map, the value
+//! of shorter passes, and the parameters of the planner.
 
 use mastweir_core::{
     experts::layer_planner::LayerPlanner,
@@ -7,26 +8,25 @@
 };
 use std::collections::HashSet;
 
-/// Seconds for which a map helps, as demand shifts every few seconds.
+/// Seconds for which a map is expected to fit demand.
 const HORIZON_S: f64 = 2.5;
-/// What loading a megabyte costs, in seconds of a pass at its mean load: 0.007 for the
-/// 1,700 MB of an expert; between 0.002 and 0.01 streams kept pace best there
-/// (docs/benchmarks/platform.md).
+/// Cost of loading one megabyte, in seconds of a pass at its mean load: 0.007 for an expert of
+/// 1,700 MB.
 const MB_COST: f64 = 0.007 / 1_700.0;
-/// What a change of map costs besides, in the same: its orders, and a group that now and
-/// then stands for some of them.
+/// Fixed cost of a map change, in the same unit: its orders, and the pause of the group that it
+/// may need.
 const CHANGE_COST: f64 = 0.06;
-/// Passes take 15 in 100 longer while a rank loads, says the users' page.
+/// Part by which passes take longer while a rank loads experts, as the platform states it.
 const LOAD_SLOWDOWN: f64 = 0.15;
-/// Part of a group's places in use at which quicker passes begin to count, and at
-/// which they count in full.
+/// Part of a group's slots in use from which shorter passes gain value.
 const PRESSURE_START: f64 = 0.3;
+/// Part of a group's slots in use from which shorter passes have full value.
 const PRESSURE_FULL: f64 = 0.7;
-/// What they count at least: a burst may come.
+/// Least value of shorter passes, since a burst of requests may come.
 const PRESSURE_MIN: f64 = 0.1;
 
-/// What quicker passes are worth to a group, 0 to 1, by the requests that run and
-/// wait at its ranks.
+/// Returns the value of shorter passes to a group, 0 to 1, from the number of running and waiting
+/// requests at its ranks.
 pub fn pressure(model: &Model, load: u32, ranks: usize) -> f64 {
     let slots = (model.slots as usize * ranks).max(1);
     let used = f64::from(load) / slots as f64;
@@ -34,7 +34,8 @@
     ratio.clamp(PRESSURE_MIN, 1.0)
 }
 
-/// A group's map from its ranks' parts. One that is missing gets what no other has.
+/// Assembles a group's map from the experts of its ranks. The first rank that is missing gets the
+/// experts that no other rank has.
 pub fn assemble_map(by_rank: &[Option<RankExperts>], experts: usize) -> GroupMap {
     let sets = by_rank.iter().flatten().map(Vec::len).max().unwrap_or(0);
     let of = |rank: &Option<RankExperts>, set: usize| {
@@ -44,16 +45,16 @@
         let mut ranks: Vec<Vec<u16>> = by_rank.iter().map(|rank| of(rank, set)).collect();
         let held: HashSet<u16> = ranks.iter().flatten().copied().collect();
         let all = 0..u16::try_from(experts).unwrap_or(u16::MAX);
-        let lacking: Vec<u16> = all.filter(|expert| !held.contains(expert)).collect();
+        let unplaced: Vec<u16> = all.filter(|expert| !held.contains(expert)).collect();
         if let Some(missing) = by_rank.iter().position(Option::is_none) {
-            ranks[missing] = lacking;
+            ranks[missing] = unplaced;
         }
         ranks
     };
     (0..sets).map(by_set).collect()
 }
 
-/// The planner for a model's groups.
+/// Returns the planner for a model's groups.
 pub fn planner(model: &Model) -> LayerPlanner {
     LayerPlanner {
         slots: model.expert_slots,
--- a/src/mastweir/sidecar/poll_answer.rs
+++ b/src/mastweir/sidecar/poll_answer.rs
@@ -1,9 +1,9 @@
-//! Answering a coordinator's polls: as a rank, and as the head of a section.
+//! Answers the polls of a group's coordinator, in the sidecar of each rank.
 //!
-//! A rank reads its server's state, and what requests chose, when it is asked, so the
-//! counts of all ranks end at nearly one moment: what was chosen since the poll before
-//! tells a shift of demand from before it. A head asks the others of its section at the
-//! same time and sends their states on, with the sum of their counts.
+//! A rank reads the state of its server and its counts of expert selections when the poll
+//! arrives. The counts of all ranks thus end at nearly the same time, so a shift of demand shows
+//! between two polls. The aggregator of a subtree forwards the poll to the other ranks, and sends
+//! their states and the sum of their counts to the coordinator.
 
 use super::{
     aggregation::Aggregation,
@@ -25,12 +25,11 @@
 };
 use tokio::{task, time};
 
-/// A head answers without those that have not by then: the reports of ten ranks on 16
-/// sets of 192 experts take 40 ms of its link, and a coordinator's next poll comes after
-/// 100 ms.
+/// Time after which an aggregator answers without the ranks that are missing. Long enough to
+/// receive the answers of ten ranks, and shorter than the coordinator's poll period.
 const AGGREGATION_TIMEOUT: Duration = Duration::from_millis(70);
 
-/// Takes a poll in, and answers it.
+/// Records a poll and answers it in the background.
 pub fn handle_poll(sidecar: &Rc<Sidecar>, poll: Poll, from: IpAddr) {
     if !sidecar.accepts_poll(&poll) {
         return;
@@ -48,7 +47,7 @@
     }
 }
 
-/// Aggregator for this rank alone.
+/// Answers for this rank only.
 async fn answer_alone(sidecar: Rc<Sidecar>, poll: Poll, to: IpAddr) {
     for report in read_rank(&sidecar, &poll).await {
         if to == sidecar.ip {
@@ -59,7 +58,8 @@
     }
 }
 
-/// Asks the others, and answers once they have, or have had their time.
+/// Forwards the poll to the other ranks of the subtree, and answers when all of them have
+/// answered or the timeout has passed.
 pub async fn answer_for_subtree(sidecar: Rc<Sidecar>, poll: Poll) {
     let round = poll.round;
     let waiting: HashSet<IpAddr> = poll.subtree.iter().copied().chain([sidecar.ip]).collect();
@@ -67,29 +67,29 @@
     forwarded.subtree.clear();
     let message = Message::Poll(forwarded.clone());
     poll.subtree.iter().for_each(|ip| sidecar.send(*ip, &message));
-    let before = sidecar.aggregator.borrow_mut().begin(poll, waiting);
-    before.into_iter().for_each(|before| forward_answers(&sidecar, &before));
+    let previous = sidecar.aggregator.borrow_mut().begin(poll, waiting);
+    previous.into_iter().for_each(|answers| forward_answers(&sidecar, &answers));
     let own = read_rank(&sidecar, &forwarded).await;
     own.into_iter().for_each(|report| sidecar.record_answer(report, sidecar.ip));
     time::sleep(AGGREGATION_TIMEOUT).await;
     let rest = sidecar.aggregator.borrow_mut().finish(round);
-    rest.into_iter().for_each(|rest| forward_answers(&sidecar, &rest));
+    rest.into_iter().for_each(|answers| forward_answers(&sidecar, &answers));
 }
 
 impl Sidecar {
-    /// A rank's answer to a poll: as the head of its section, or as its coordinator.
+    /// Records a rank's answer to a poll, as the aggregator of its subtree or as its coordinator.
     pub fn record_answer(&self, report: RankReport, from: IpAddr) {
         match self.aggregator.borrow_mut().add(from, report) {
-            Ok(whole) => whole.into_iter().for_each(|whole| forward_answers(self, &whole)),
+            Ok(done) => done.into_iter().for_each(|answers| forward_answers(self, &answers)),
             Err(report) => {
-                // A coordinator that is behind gets the next one.
+                // If the queue is full the answer is dropped; the next poll brings another.
                 let _ = self.answer_tx.try_send(Message::Rank(report));
             }
         }
     }
 }
 
-/// Sends a section's answers to the coordinator.
+/// Sends the answers of a subtree to the coordinator.
 fn forward_answers(sidecar: &Sidecar, answers: &Aggregation) {
     let Aggregation { poll, ranks, sums, .. } = answers;
     let report = |ranks: &[RankStatus], counts: Counts| {
@@ -100,12 +100,12 @@
             counts,
         })
     };
-    // States and sums have datagrams of their own: together they may not fit.
+    // States and sums go in separate datagrams: together they may not fit into one.
     let states = ranks.chunks(RANKS_PER_DATAGRAM).map(|ranks| report(ranks, Counts::default()));
     let sums = split_counts(sums).into_iter().map(|counts| report(&[], counts));
     for message in states.chain(sums) {
         if poll.coordinator == sidecar.ip {
-            // A coordinator that is behind gets the next one.
+            // If the queue is full the answer is dropped; the next poll brings another.
             let _ = sidecar.answer_tx.try_send(message);
         } else {
             sidecar.send(poll.coordinator, &message);
@@ -113,7 +113,8 @@
     }
 }
 
-/// Counts in split_counts that fit into datagrams; one without any where there are none.
+/// Splits counts into parts that fit into datagrams. Returns one empty part if there are no
+/// counts.
 fn split_counts(counts: &[u32]) -> VecDeque<Counts> {
     let all = counts.chunks(COUNTS_PER_DATAGRAM).enumerate();
     let part = |(number, part): (usize, &[u32])| Counts {
@@ -125,11 +126,11 @@
     if parts.is_empty() { [Counts { is_last: true, ..Counts::default() }].into() } else { parts }
 }
 
-/// Reads the server beside, for a poll.
+/// Reads the state and counts of the local server for a poll.
 async fn read_rank(sidecar: &Sidecar, poll: &Poll) -> Vec<RankReport> {
     let Ok(state) = sidecar.engine.state().await else { return Vec::new() };
     let read_at = sidecar.clock.now();
-    let Some(rank) = rank_brief(sidecar, &state, &poll.group, read_at) else { return Vec::new() };
+    let Some(rank) = rank_status(sidecar, &state, &poll.group, read_at) else { return Vec::new() };
     let mut counts = Vec::new();
     if poll.sets.is_some() {
         let sets = sidecar.model.borrow().as_ref().map_or(1, |model| model.sets);
@@ -147,8 +148,8 @@
     split_counts(&counts).into_iter().map(report).collect()
 }
 
-/// The rank beside, if it is of that group.
-fn rank_brief(
+/// Returns the status of the local rank, if it belongs to `group`.
+fn rank_status(
     sidecar: &Sidecar,
     state: &EngineState,
     group: &str,
@@ -165,12 +166,12 @@
     })
 }
 
-/// A word to a coordinator that does not poll this rank: it may not know of it.
+/// Announces this rank to a coordinator that does not poll it and may not know it.
 pub fn announce_rank(sidecar: &Sidecar, coordinator: IpAddr) {
     let state = sidecar.engine_state.borrow();
     let Some(state) = state.as_ref() else { return };
     let Some(group) = &state.group else { return };
-    let rank = rank_brief(sidecar, state, group, sidecar.clock.now());
+    let rank = rank_status(sidecar, state, group, sidecar.clock.now());
     let counts = Counts { is_last: true, ..Counts::default() };
     let report = RankReport { group: group.clone(), round: 0, rank, counts };
     sidecar.send(coordinator, &Message::Rank(report));
--- a/src/mastweir/sidecar/poller.rs
+++ b/src/mastweir/sidecar/poller.rs
@@ -1,4 +1,7 @@
-//! The coordinator's polls, and taking in what answers them.
+//! Polls the ranks of a group and refreshes the list of its members.
+//!
+//! Runs in the sidecar that coordinates the group. Polls go to the aggregators of the group's
+//! subtrees by datagrams; the members come from gateways of the own hall.
 
 use super::{
     group_state::{GroupState, POLL_PERIOD},
@@ -21,34 +24,32 @@
     time::{self, Instant},
 };
 
-/// Time between two polls while a change is under way: its next orders wait for what the
-/// ranks say.
+/// Time between two polls during a map change, whose next orders depend on the answers.
 const BUSY_POLL_PERIOD: Duration = Duration::from_millis(40);
-/// How often gateways are asked for the members while some are lacking, and while none is.
+/// Time between two requests for the members while some ranks are missing.
 const INCOMPLETE_LIST_PERIOD: Duration = Duration::from_millis(500);
+/// Time between two requests for the members when all ranks are known.
 const LIST_PERIOD: Duration = Duration::from_secs(4);
-/// A list of some hundred members from a gateway of the own hall: one that does not answer
-/// at once may be gone, and a group without a coordinator waits for the list.
+/// Time for a gateway of the own hall to answer. Short, because a group without a coordinator
+/// waits for the list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Gateways that are asked for it, one after the other.
+/// Gateways that are tried for the members.
 const LIST_ATTEMPTS: usize = 2;
 
 /// A coordinator's group, shared by its tasks.
 #[derive(Debug)]
 pub struct SharedGroup {
-    /// The group's name.
     pub group: String,
-    /// The coordinator's token.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// What is state.
     pub state: RefCell<GroupState>,
-    /// Whether a change is under way.
+    /// Whether a map change is in progress.
     pub is_busy: Cell<bool>,
-    /// Wakes the coordinator: something was heard.
+    /// Wakes the coordinator when an answer was received.
     pub answered: Notify,
 }
 
-/// Polls the group, for ever.
+/// Polls the group. Never returns.
 pub async fn poll_group(sidecar: &Rc<Sidecar>, shared: &SharedGroup) {
     let mut last_counts = Instant::now() - POLL_PERIOD;
     loop {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Takes in what the ranks say, for ever.
+/// Records the answers of ranks until the channel is closed.
 pub async fn receive_answers(
     sidecar: &Sidecar,
     shared: &SharedGroup,
@@ -102,7 +103,7 @@
     }
 }
 
-/// Asks gateways for the members, for ever.
+/// Requests the members of the group from gateways. Never returns.
 pub async fn refresh_members(sidecar: &Sidecar, shared: &SharedGroup) {
     loop {
         let is_complete = shared.state.borrow().ranks.is_complete();
@@ -120,7 +121,7 @@
     }
 }
 
-/// What some gateway of the hall knows of a group.
+/// Requests a gateway's view of a group; tries several gateways of the hall.
 pub async fn fetch_view(sidecar: &Sidecar, group: &str) -> Option<GroupView> {
     let relays: Vec<IpAddr> = sidecar.relays.borrow().latest_first();
     for ip in relays.into_iter().take(LIST_ATTEMPTS) {
--- a/src/mastweir/sidecar/rank_views.rs
+++ b/src/mastweir/sidecar/rank_views.rs
@@ -1,8 +1,7 @@
-//! What a coordinator knows of its ranks, and where it comes from.
+//! The coordinator's view of the ranks of its group.
 //!
-//! Sidecars report their ranks' states. A rank whose sidecar is silent is asked
-//! itself, in the background: one that gives no answer, since its instance
-//! stands still, must not hold up what the others need.
+//! Sidecars report the states of their ranks. If a sidecar is silent, the server is queried
+//! directly, in the background, so that a suspended instance does not delay the others.
 
 use super::state::Sidecar;
 use crate::{gateway::message::RankStatus, net::http::Pool, platform::engine::EngineClient};
@@ -16,48 +15,49 @@
 };
 use tokio::{sync::mpsc, task};
 
-/// A rank's state that is older than this decides nothing.
+/// Age from which a rank's state is ignored.
 const STATE_TTL: Duration = Duration::from_millis(700);
-/// Servers whose sidecars are silent are asked this often.
+/// Time between two queries of servers whose sidecars are silent.
 const QUERY_PERIOD: Duration = Duration::from_millis(150);
-/// Behind its start a coordinator hears its ranks by its first polls. Before that all are
-/// silent: asked themselves, 95 of 96 got their orders past their sidecars, 2.4 MB of whole
-/// maps, behind which the polls waited until another took over.
+/// Time after the coordinator's start before silent servers are queried. Until the answers to the
+/// first polls arrive all sidecars seem silent, and direct orders with full maps to all ranks
+/// would overload the network link.
 const QUERY_DELAY: Duration = Duration::from_millis(350);
-/// A load that was taken is not ordered again for this time: some ten experts.
+/// Time for which an accepted load order is not repeated: enough to load about ten experts.
 const LOAD_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A rank's state, and how it came.
+/// Latest known state of a rank.
 #[derive(Clone, Debug)]
 pub struct RankView {
-    /// Where its server listens.
+    /// Address at which the server listens.
     pub server: SocketAddr,
-    /// When it was known at the latest, on this process's clock.
+    /// When the state was received, on the clock of this process. Where it was requested: when the
+    /// request was sent.
     pub known_at: Uptime,
-    /// The state.
     pub state: RankState,
-    /// Requests that run and wait there.
+    /// Running and waiting requests.
     pub load: u32,
-    /// Time that it takes for the same work over what is usual, in thousandths.
+    /// Time per work over the usual, in thousandths.
     pub slowdown_milli: u32,
-    /// Life of its server; zero if that is not known.
+    /// Incarnation of the server; zero if unknown.
     pub incarnation: u64,
-    /// When its sidecar read it, on its own clock; none if that is silent and the
-    /// server was asked itself.
+    /// When the sidecar read the state, on its own clock. `None` if the sidecar is silent and the
+    /// server was queried directly.
     pub read_at: Option<Uptime>,
 }
 
-/// What a server that was asked itself said; no state if it gave no answer.
+/// Result of querying a server directly.
 #[derive(Debug)]
 pub struct QueryResult {
     server: SocketAddr,
     at: Uptime,
+    /// `None` if the server did not answer.
     state: Option<RankState>,
     slowdown_milli: u32,
     incarnation: u64,
 }
 
-/// The last load that a rank has begun.
+/// The last order to load a map that a rank has accepted.
 #[derive(Clone, Copy, Debug)]
 struct LoadOrder {
     version: u64,
@@ -72,14 +72,16 @@
     loading: BTreeMap<u32, LoadOrder>,
     started: Uptime,
     last_query: Uptime,
+    /// Servers with a query in progress.
     pending: HashSet<SocketAddr>,
+    /// Servers that did not answer the last query.
     unreachable: HashSet<SocketAddr>,
     result_tx: mpsc::UnboundedSender<QueryResult>,
     result_rx: mpsc::UnboundedReceiver<QueryResult>,
 }
 
 impl RankViews {
-    /// Nothing known yet, at a coordinator's start.
+    /// Creates the views at the start of a coordinator, without any rank.
     pub fn new(started: Uptime) -> Self {
         let (result_tx, result_rx) = mpsc::unbounded_channel();
         Self {
@@ -94,22 +96,22 @@
         }
     }
 
-    /// A rank as it was last view.
+    /// Returns the latest view of a rank.
     pub fn get(&self, rank: u32) -> Option<&RankView> {
         self.views.get(&rank)
     }
 
-    /// Those whose state is fresh.
+    /// Returns the ranks whose state is recent.
     pub fn fresh(&self, now: Uptime) -> impl Iterator<Item = &RankView> {
         self.views.values().filter(move |view| now.since(view.known_at) < STATE_TTL)
     }
 
-    /// Requests that run and wait at all of them.
+    /// Returns the number of running and waiting requests at all ranks.
     pub fn total_load(&self) -> u32 {
         self.views.values().map(|view| view.load).sum()
     }
 
-    /// Paces of the ranks, in order.
+    /// Returns the slowdowns of the first `count` ranks, in order; 1 where unknown.
     pub fn slowdowns(&self, count: usize) -> Vec<f64> {
         let of = |rank| {
             self.views.get(&rank).map_or(1.0, |view| f64::from(view.slowdown_milli) / 1_000.0)
@@ -117,18 +119,18 @@
         (0..u32::try_from(count).unwrap_or(0)).map(of).collect()
     }
 
-    /// Number of the rank whose server listens at an address.
+    /// Returns the number of the rank whose server listens at an address.
     pub fn rank_at(&self, server: SocketAddr) -> Option<usize> {
         let own = self.views.values().find(|view| view.server == server);
         own.map(|view| view.state.rank as usize)
     }
 
-    /// Whether a rank on an instance is fresh.
+    /// Returns whether a rank at an address has a recent state.
     pub fn is_fresh_at(&self, ip: IpAddr, now: Uptime) -> bool {
         self.fresh(now).any(|view| view.server.ip() == ip)
     }
 
-    /// Takes in what a sidecar says of its rank.
+    /// Records the status of a rank from its sidecar.
     pub fn record_answer(&mut self, status: RankStatus, now: Uptime) {
         self.record(RankView {
             server: status.server,
@@ -141,13 +143,13 @@
         });
     }
 
-    /// Whether all ranks were view at least once.
+    /// Returns whether every rank was seen at least once.
     pub fn is_complete(&self) -> bool {
         let size = self.views.values().next().map(|view| view.state.size as usize);
         size.is_some_and(|size| self.views.len() >= size)
     }
 
-    /// Takes a rank's state in, unless a newer one is known.
+    /// Records the state of a rank, unless a newer one is known.
     pub fn record(&mut self, view: RankView) {
         let is_newer = self.views.get(&view.state.rank).is_none_or(|before| {
             let is_expired = view.known_at.since(before.known_at) >= STATE_TTL;
@@ -160,20 +162,21 @@
         if is_newer {
             let previous = self.views.get(&view.state.rank).map_or(0, |before| before.incarnation);
             if previous != 0 && previous != view.incarnation {
-                // What the life before was loading is gone with it.
+                // A load of the previous incarnation has ended with it.
                 self.loading.remove(&view.state.rank);
             }
             self.views.insert(view.state.rank, view);
         }
     }
 
-    /// A rank has taken the order to load a version.
+    /// Records that a rank has accepted the order to load a version.
     pub fn record_load(&mut self, rank: u32, version: u64, epoch: u64, at: Uptime) {
         self.loading.insert(rank, LoadOrder { version, epoch, at });
     }
 
-    /// The states of all ranks, in order; none where it is not fresh. Busy is a
-    /// rank that may still be loading `target`; what else it loads gives way to that.
+    /// Returns the states of all ranks, in order; `None` where a state is not recent. `busy` is
+    /// set for ranks that may still be loading version `target`; loads of other versions don't
+    /// count, since the server drops them.
     pub fn states(&self, target: Option<u64>, now: Uptime) -> Vec<Option<RankState>> {
         let Some(size) = self.views.values().next().map(|view| view.state.size) else {
             return Vec::new();
@@ -193,8 +196,8 @@
         })
     }
 
-    /// Asks the servers among these themselves whose sidecars are silent. What they say
-    /// is some hundred milliseconds old, and each call is paid for.
+    /// Queries the servers among `members` whose sidecars are silent. Used only for these, since
+    /// the results are older than those of sidecars and each call costs bandwidth.
     pub fn query_silent<'a>(
         &mut self,
         sidecar: &Sidecar,
@@ -219,12 +222,12 @@
         }
     }
 
-    /// The next answer of a server that was asked itself, if there is one.
+    /// Returns the next result of a direct query, if one has arrived.
     pub fn next_result(&mut self) -> Option<QueryResult> {
         self.result_rx.try_recv().ok()
     }
 
-    /// Takes such an answer in.
+    /// Records the result of a direct query.
     pub fn record_result(&mut self, sidecar: &Sidecar, result: QueryResult) {
         let QueryResult { server, at, state, slowdown_milli, incarnation } = result;
         self.pending.remove(&server);
@@ -252,8 +255,8 @@
     }
 }
 
-/// Asks one server. What is read is as old as the question, if this process stood
-/// still meanwhile.
+/// Queries a server. The result is dated by the time of the query, since this process may be
+/// suspended meanwhile.
 async fn query(
     server: SocketAddr,
     pool: Rc<Pool>,
@@ -263,9 +266,9 @@
 ) {
     let state = EngineClient::new(server, pool).state().await.ok();
     let state = state.filter(|state| state.group.as_deref() == Some(&group));
-    // The coordinator may have ended meanwhile.
     let slowdown_milli = state.as_ref().map_or(1_000, |state| state.slowdown_milli);
     let incarnation = state.as_ref().map_or(0, |state| state.incarnation);
     let state = state.and_then(|state| state.rank);
+    // The receiver may be gone: the coordinator may have ended meanwhile.
     let _ = result_tx.send(QueryResult { server, at, state, slowdown_milli, incarnation });
 }
--- a/src/mastweir/sidecar/server_watch.rs
+++ b/src/mastweir/sidecar/server_watch.rs
@@ -1,4 +1,8 @@
-//! The server beside: its state, told to the hall's relays, and datagrams for it.
+//! Watches the local model server and reports its state to the relay gateways of the hall;
+//! receives the datagrams of the sidecar.
+//!
+//! The state is read at a fixed period and after each order. If a known coordinator does not poll
+//! this rank, the rank announces itself to it.
 
 use super::{poll_answer, state::Sidecar};
 use crate::{
@@ -13,15 +17,13 @@
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::time;
 
-/// The server is looked at, and the hall's relays are told of it, this often: what they
-/// tell gateways is up to 0.35 s older then, and a gateway leaves out a server that was
-/// silent for 0.7 s.
+/// Time between two reports of the server's state. Short against the time after which gateways
+/// exclude a silent server.
 const REPORT_PERIOD: Duration = Duration::from_millis(100);
-/// A coordinator that was heard of and does not poll for this long may not know of this
-/// rank: three polls.
+/// Time without polls after which the coordinator may not know this rank: three polls.
 const UNPOLLED_TIMEOUT: Duration = Duration::from_millis(320);
 
-/// Looks at the server, for ever, and tells the others.
+/// Watches the server and reports its state. Never returns.
 pub async fn watch_server(sidecar: Rc<Sidecar>) {
     let mut passes = PassTimer::default();
     let mut is_lost = false;
@@ -41,7 +43,7 @@
                 *sidecar.engine_state.borrow_mut() = None;
             }
         }
-        // An order shortens the wait; its effect is told at once.
+        // An order ends the wait, so its effect is reported at once.
         let _ = time::timeout(REPORT_PERIOD, sidecar.state_changed.notified()).await;
     }
 }
@@ -60,16 +62,16 @@
     passes.record(state.rank.as_ref().map_or(0, |rank| rank.pass), state.running, now);
     sidecar.pass_ms.set(passes.mean_ms());
     send_report(sidecar, &state, passes, now);
-    let pace = sidecar.engine_state.borrow().as_ref().map(|before| before.slowdown_milli);
-    if pace.is_some_and(|before| before != state.slowdown_milli) {
-        info!(sidecar.log, "model server's pace changed"; "before_milli" => pace,
+    let before = sidecar.engine_state.borrow().as_ref().map(|before| before.slowdown_milli);
+    if before.is_some_and(|before| before != state.slowdown_milli) {
+        info!(sidecar.log, "model server's pace changed"; "before_milli" => before,
             "now_milli" => state.slowdown_milli);
     }
     *sidecar.engine_state.borrow_mut() = Some(state);
     announce_if_unpolled(sidecar, now);
 }
 
-/// Keeps the limit that the server named before where it can't be read: that is no end of it.
+/// Keeps the previous limit of the server if the new one is malformed.
 fn keep_limit(sidecar: &Sidecar, state: &mut EngineState) {
     let before =
         sidecar.engine_state.borrow().as_ref().map(|before| before.limit).unwrap_or_default();
@@ -82,7 +84,7 @@
     }
 }
 
-/// A coordinator that was heard of and does not poll this rank is told that it is here.
+/// Announces this rank to the known coordinator, unless that has polled it recently.
 fn announce_if_unpolled(sidecar: &Sidecar, now: Uptime) {
     let is_polled = now.since(sidecar.last_polled.get()) < UNPOLLED_TIMEOUT;
     let coordinator: Option<IpAddr> = sidecar.coordinator.borrow().as_ref().map(|known| known.ip);
@@ -93,13 +95,13 @@
 
 fn send_report(sidecar: &Sidecar, state: &EngineState, passes: &PassTimer, now: Uptime) {
     let rank = state.rank.as_ref();
-    let stalled = passes.is_stalled(state.running, now);
+    let is_stalled = passes.is_stalled(state.running, now);
     let load = LoadReport {
         running: state.running,
         waiting: state.waiting,
         memory_milli: state.memory_milli,
         group: state.group.clone(),
-        group_open: rank.is_none_or(|rank| rank.open && !stalled),
+        group_open: rank.is_none_or(|rank| rank.open && !is_stalled),
         pass: rank.map_or(0, |rank| rank.pass),
         pass_ms: passes.mean_ms() as u32,
         slowdown_milli: state.slowdown_milli,
@@ -115,19 +117,19 @@
     sidecar.relays.borrow().live().for_each(|ip| sidecar.send(ip, &report));
 }
 
-/// Takes datagrams in, for ever.
+/// Receives datagrams. Never returns.
 pub async fn receive_datagrams(sidecar: Rc<Sidecar>) {
     let mut buffer = vec![0; DATAGRAM_MAX * 2];
     loop {
-        // An error says that an earlier datagram met a closed port.
+        // An error states that an earlier datagram was sent to a closed port.
         let Ok((len, from)) = sidecar.socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes(&buffer[..len]) {
-            Ok(Message::RelayHello(hello)) => handle_announcement(&sidecar, hello, from.ip()),
-            Ok(Message::Poll(asked)) => poll_answer::handle_poll(&sidecar, asked, from.ip()),
+            Ok(Message::RelayHello(hello)) => handle_relay_hello(&sidecar, hello, from.ip()),
+            Ok(Message::Poll(poll)) => poll_answer::handle_poll(&sidecar, poll, from.ip()),
             Ok(Message::Rank(report)) => sidecar.record_answer(report, from.ip()),
-            Ok(section @ Message::Subtree(_)) => {
-                // A coordinator that is behind gets the next one.
-                let _ = sidecar.answer_tx.try_send(section);
+            Ok(report @ Message::Subtree(_)) => {
+                // If the queue is full the answer is dropped; the next poll brings another.
+                let _ = sidecar.answer_tx.try_send(report);
             }
             Ok(
                 Message::Hello(_)
@@ -144,10 +146,10 @@
     }
 }
 
-fn handle_announcement(sidecar: &Sidecar, hello: RelayHello, from: IpAddr) {
+fn handle_relay_hello(sidecar: &Sidecar, hello: RelayHello, from: IpAddr) {
     let now = sidecar.clock.now();
-    // One that is leaving still serves: without reports it would take all servers for
-    // lost, and cut its last streams. It is forgotten when it says no more.
+    // A relay that is leaving still serves streams. Without reports it would exclude all servers
+    // and cut them. It expires when its announcements end.
     if sidecar.relays.borrow_mut().refresh(from, now) {
         info!(sidecar.log, "speaker found"; "peer" => %from);
     }
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -1,4 +1,4 @@
-//! What a sidecar knows, shared by its tasks on one thread.
+//! State of a sidecar that its tasks share. All of them run on one thread.
 
 use super::{
     SidecarOptions,
@@ -30,83 +30,77 @@
     sync::{Notify, mpsc},
 };
 
-/// Reports that wait for the coordinator: three rounds of a group of 512 ranks, whose
-/// sums of all sets take nine datagrams each of its 25 sections.
+/// Messages that may wait for the coordinator: three polls of a group of 512 ranks, where each of
+/// 25 subtrees answers with up to nine datagrams.
 const ANSWER_QUEUE_MAX: usize = 700;
 
-/// A coordinator that was heard.
+/// The coordinator with the most recent known poll.
 #[derive(Clone, Debug)]
 pub struct KnownCoordinator {
-    /// Where it is.
     pub ip: IpAddr,
-    /// Its group.
     pub group: String,
-    /// Its token.
+    /// Fencing token.
     pub token: u64,
-    /// Number of its poll.
+    /// Number of its last known poll.
     pub round: u64,
-    /// When.
+    /// When that poll was received, here or elsewhere.
     pub seen_at: Uptime,
 }
 
 impl KnownCoordinator {
-    /// Whether it is the coordinator of that group.
+    /// Returns whether this is the coordinator of `group`.
     pub fn coordinates(&self, group: &str) -> bool {
         self.group == group
     }
 }
 
-/// A sidecar's state.
+/// State of a sidecar.
 #[derive(Debug)]
 pub struct Sidecar {
     /// Name of the instance.
     pub name: String,
     /// Address of this process.
     pub ip: IpAddr,
-    /// Port of all of mastweir's processes.
+    /// Internal port, the same for all of mastweir's processes.
     pub port: u16,
-    /// Where the model server listens.
+    /// Address at which the model server listens.
     pub server: SocketAddr,
-    /// Its clock.
     pub clock: Clock,
-    /// The log.
     pub log: Logger,
-    /// The model server.
+    /// Client for the model server.
     pub engine: EngineClient,
-    /// The platform's store.
     pub store: Store,
-    /// Connections to other sidecars.
+    /// Connections to other processes and to model servers of the group.
     pub peer_pool: Rc<Pool>,
-    /// The socket for datagrams.
+    /// Socket for datagrams between processes.
     pub socket: UdpSocket,
-    /// The gateways that speak for the hall.
+    /// Relay gateways of the hall.
     pub relays: RefCell<Listeners>,
-    /// The engine's model.
+    /// The model that the server runs, as a relay announced it.
     pub model: RefCell<Option<Model>>,
-    /// The server's state as last read.
+    /// Last state of the server. `None` while the server can't be reached.
     pub engine_state: RefCell<Option<EngineState>>,
-    /// The coordinator that was heard last.
     pub coordinator: RefCell<Option<KnownCoordinator>>,
-    /// When a coordinator polled last.
+    /// When a coordinator last polled this sidecar.
     pub last_polled: Cell<Uptime>,
-    /// What requests had chosen at earlier polls.
+    /// Expert selections counted at earlier polls.
     pub selections: RefCell<SelectionHistory>,
-    /// The answers of the section, where this sidecar is its head.
+    /// Answers of the subtree, where this sidecar is its aggregator.
     pub aggregator: RefCell<Aggregator>,
-    /// The group's maps.
+    /// Recent expert maps of the group.
     pub maps: RefCell<MapCache>,
-    /// Reports for this sidecar as the coordinator.
+    /// Answers of ranks for this sidecar as the coordinator.
     pub answer_tx: mpsc::Sender<Message>,
-    /// The other end of it.
+    /// Receiving end of `answer_tx`, until the election task takes it.
     pub answer_rx: RefCell<Option<mpsc::Receiver<Message>>>,
-    /// Milliseconds that the last passes took, on average.
+    /// Mean time of recent passes, in milliseconds.
     pub pass_ms: Cell<f64>,
-    /// Wakes the watch of the server: its state has changed.
+    /// Wakes the task that watches the server.
     pub state_changed: Notify,
 }
 
 impl Sidecar {
-    /// A sidecar that knows nothing yet.
+    /// Creates the state of a sidecar that has received nothing yet.
     pub fn new(options: &SidecarOptions, socket: UdpSocket) -> Self {
         let settings = &options.settings;
         let (answer_tx, answer_rx) = mpsc::channel(ANSWER_QUEUE_MAX);
@@ -136,22 +130,22 @@
         }
     }
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram, which may be lost.
     pub fn send(&self, to: IpAddr, message: &Message) {
         let Ok(bytes) = postcard::to_stdvec(message) else { return };
-        // A full buffer drops it; the next one comes soon.
+        // With a full send buffer the datagram is dropped; all of them are repeated.
         let _ = self.socket.try_send_to(&bytes, SocketAddr::new(to, self.port));
     }
 
-    /// Whether a poll is to be answered: not one of a coordinator that was followed by
-    /// another.
+    /// Returns whether a poll should be answered: not that of a coordinator which has been
+    /// superseded by one with a higher fencing token.
     pub fn accepts_poll(&self, poll: &Poll) -> bool {
         let known = self.coordinator.borrow();
         let same_group = known.as_ref().filter(|known| known.group == poll.group);
         same_group.is_none_or(|known| known.token <= poll.token)
     }
 
-    /// The coordinator that was heard last, as it is told to others.
+    /// Returns the known coordinator in the form that is sent to other processes.
     pub fn known_coordinator(&self) -> Option<CoordinatorSeen> {
         let known = self.coordinator.borrow();
         let known = known.as_ref()?;
@@ -165,7 +159,8 @@
         })
     }
 
-    /// Takes in what another says of the group's coordinator.
+    /// Records a coordinator that another process has reported, unless a more recent poll of the
+    /// same group's coordinator is known.
     pub fn record_coordinator(&self, seen: CoordinatorSeen) {
         let now = self.clock.now();
         let seen_at = now - Duration::from_millis(u64::from(seen.age_ms));
@@ -179,7 +174,7 @@
         }
     }
 
-    /// Address of another sidecar.
+    /// Returns the internal address of another process.
     pub fn addr(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.port)
     }
