--- a/src/mastweir/entry/admit.rs
+++ b/src/mastweir/entry/admit.rs
@@ -1,4 +1,9 @@
-//! Limits of a customer, at this entry's part of them.
+//! Admission of requests by the limits of their customer.
+//!
+//! A customer's row limits its requests in flight, its queued requests and its rate. Each entry
+//! enforces a share of these limits in proportion to its part of the customer's traffic. While
+//! the servers are full, a customer is also held to its fair share of the fleet, see
+//! [`usage`](super::usage).
 
 use super::{Shared, lock, problem::ProblemKind};
 use mastweir_core::{
@@ -9,43 +14,45 @@
 use rand::Rng;
 use std::{collections::HashMap, sync::Arc};
 
-/// Seconds after which to come back when over the share.
+/// Seconds after which a customer over its fair share may retry.
 const OVER_SHARE_RETRY_S: u32 = 2;
 
-/// What a customer has at this entry.
+/// Use of its limits by a customer at this entry.
 #[derive(Debug)]
 struct CustomerUsage {
     inflight: u32,
+    /// Requests in flight whose answer has not begun.
     waiting: u32,
     bucket: TokenBucket,
 }
 
-/// All customers that have something.
+/// Use of limits by customer name.
 #[derive(Debug, Default)]
 pub struct Limits {
     customers: HashMap<String, CustomerUsage>,
 }
 
-/// A request that was let in. Dropping it gives its place back.
+/// An admitted request. Dropping the guard releases what the request holds of the limits.
 #[derive(Debug)]
 pub struct AdmissionGuard {
     shared: Arc<Shared>,
     customer: String,
+    /// Estimated cost in units, which was charged on admission.
     estimate: u32,
     is_waiting: bool,
+    /// Whether the estimate was replaced by the actual cost.
     is_settled: bool,
 }
 
-/// Why a request was not let in.
+/// Why a request was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// The kind of problem.
     pub kind: ProblemKind,
-    /// Seconds after which to come back.
+    /// Seconds after which the caller may retry; `None` if a retry can't succeed.
     pub retry_after: Option<u32>,
 }
 
-/// Lets a request in, if the customer's row allows it.
+/// Admits a request, if the limits of the customer's row and its fair share allow it.
 ///
 /// # Errors
 ///
@@ -74,7 +81,7 @@
         is_waiting: true,
         is_settled: false,
     };
-    // Over its share while the servers are full: refused before it is sent.
+    // The guard is dropped here and releases the limits.
     if !in_share {
         return Err(Denied {
             kind: ProblemKind::Overloaded,
@@ -85,7 +92,7 @@
 }
 
 impl Limits {
-    /// Requests of a customer in flight at this entry.
+    /// Returns the number of a customer's requests in flight at this entry.
     pub fn inflight(&self, name: &str) -> u32 {
         self.customers.get(name).map_or(0, |usage| usage.inflight)
     }
@@ -125,7 +132,7 @@
 }
 
 impl AdmissionGuard {
-    /// The answer has begun.
+    /// Records that the answer has begun, so that the request no longer counts as queued.
     pub fn mark_answering(&mut self) {
         if !std::mem::replace(&mut self.is_waiting, false) {
             return;
@@ -135,7 +142,7 @@
         }
     }
 
-    /// It has cost this much.
+    /// Replaces the estimated cost by the actual cost in units.
     pub fn settle(&mut self, units: u32) {
         self.is_settled = true;
         lock(&self.shared.usage).record_cost(&self.customer, self.estimate, units);
--- a/src/mastweir/entry/attempt.rs
+++ b/src/mastweir/entry/attempt.rs
@@ -1,4 +1,7 @@
-//! One attempt over a channel: frames in, events out.
+//! One attempt of a request over a channel to a server's agent.
+//!
+//! Sends the request as frames, and translates the agent's frames to the [`Event`]s of a call.
+//! Load reports that agents attach to their frames go to the fleet view.
 
 use super::{Shared, lock};
 use crate::net::{Channel, ChannelError};
@@ -9,7 +12,7 @@
 };
 use std::net::SocketAddr;
 
-/// An attempt whose order has left.
+/// The channel of an attempt.
 #[derive(Debug)]
 pub struct AttemptChannel {
     channel: Channel,
@@ -17,18 +20,17 @@
     server: String,
 }
 
-/// An event and what came with it.
+/// An event of an attempt, with the data of its frame.
 #[derive(Debug)]
 pub struct AttemptEvent {
-    /// The event.
     pub event: Event,
-    /// Bytes of a unit.
+    /// Body bytes of a chunk; empty for other events.
     pub bytes: Vec<u8>,
-    /// Status and content type of a head.
+    /// HTTP status and content type, with the head of the answer.
     pub head: Option<(u16, Option<String>)>,
-    /// What the request has cost, at its end.
+    /// Cost of the request, at the end of the answer.
     pub cost: Option<RequestCost>,
-    /// The life of an engine that ended under it.
+    /// Identity of the engine incarnation that crashed while it ran the request.
     pub crashed_engine: Option<Fingerprint>,
 }
 
@@ -38,7 +40,7 @@
     }
 }
 
-/// Opens a channel to a server's agent. Nothing of the order leaves yet.
+/// Opens a channel to a server's agent, without sending anything of the request.
 pub async fn open(shared: &Shared, server: &str) -> Result<AttemptChannel, ChannelError> {
     let addr = lock(&shared.view).instance(server).map(|spec| spec.tcp);
     let addr = addr.ok_or(ChannelError::Closed)?;
@@ -47,7 +49,7 @@
 }
 
 impl AttemptChannel {
-    /// Sends the order and its body.
+    /// Sends the request and its body.
     pub async fn start(&mut self, start: Start, body: &[u8]) -> Result<(), ChannelError> {
         self.channel.sender.send(&ToAgent::Start(Box::new(start))).await?;
         for chunk in body.chunks(CHUNK_MAX) {
@@ -56,7 +58,7 @@
         Ok(())
     }
 
-    /// Waits for what comes next. Reports that ride on it are taken in.
+    /// Waits for the next frame, and records the load report that it may carry.
     pub async fn next(&mut self, shared: &Shared) -> AttemptEvent {
         match self.channel.receiver.recv().await {
             Ok(frame) => self.to_event(shared, frame),
@@ -64,13 +66,13 @@
         }
     }
 
-    /// Tells the agent to stop.
+    /// Cancels the request at the agent and closes the channel.
     pub async fn cancel(mut self) {
-        // A lost connection stops it as well.
+        // If sending fails, the lost connection cancels the request.
         let _ = self.channel.sender.send(&ToAgent::Cancel).await;
     }
 
-    /// Gives the channel back, after an end.
+    /// Returns the channel to the pool after the end of an attempt.
     pub fn release(self, shared: &Shared) {
         shared.pool.put(self.addr, self.channel);
     }
@@ -98,7 +100,8 @@
             }
             FromAgent::EngineCrashed(load) => {
                 self.record_load(shared, &load);
-                // An engine says nothing of its lives; one that ends does so at one moment.
+                // Engines have no incarnation number. The agent's incarnation and the time of
+                // the crash identify the one that crashed.
                 let engine = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
                 AttemptEvent {
                     crashed_engine: Some(Fingerprint::of_incarnation(&engine)),
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -1,9 +1,9 @@
-//! Carries out what a call asks for.
+//! Runs one admitted request at the entry, from the first attempt to the answer.
 //!
-//! The decisions are [`Call`]'s and the router's; here are the sockets, the
-//! timers and the log lines. A call runs as a task of its own and reports to
-//! the handler that started it: a whole answer, the beginning of a stream, or a
-//! problem.
+//! [`Call`] is the state machine that decides on retries and outcomes, and the router chooses
+//! servers. This module owns the sockets and timers: it carries out each [`Action`] and passes the
+//! resulting [`Event`] back. Each request runs as a task of its own and sends the HTTP handler
+//! that started it one [`Reply`]: a complete answer, the head of a stream, or a problem.
 
 mod log;
 mod start_frame;
@@ -36,18 +36,18 @@
     time,
 };
 
-/// Bytes of an answer that is not a stream at most.
+/// Maximum bytes of an answer that is not streamed.
 const ANSWER_MAX: usize = 4 << 20;
-/// Units of a stream between the server and a slow caller.
+/// Chunks of a stream buffered for a slow caller.
 const STREAM_BUFFER: usize = 32;
-/// Silence between two units of a stream that counts as a stall.
+/// Time without a chunk after which a resumable stream moves to another server.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// What the agent has less of a deadline than the entry: its refusal comes in
-/// time, and proves that the request did not run.
+/// How much earlier the agent's deadline is than the entry's. The agent's refusal then arrives
+/// in time, and proves that the request did not run.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// A call in progress.
+/// A request in progress.
 struct Driver {
     shared: Arc<Shared>,
     request: ParsedRequest,
@@ -56,14 +56,19 @@
     bindings: Vec<Binding>,
     deadline: Uptime,
     channel: Option<AttemptChannel>,
+    /// Servers of the attempts so far, in order.
     tried: Vec<String>,
+    /// Taken when the handler gets its reply.
     reply: Option<oneshot::Sender<Reply>>,
+    /// Set once the answer is streamed to the caller.
     stream: Option<mpsc::Sender<Bytes>>,
+    /// HTTP status and content type.
     answer_head: (u16, Option<String>),
+    /// The answer's body, or the last chunk of a stream.
     body: Vec<u8>,
 }
 
-/// Runs a request to its end.
+/// Runs a request and sends its reply.
 pub async fn run(
     shared: Arc<Shared>,
     request: ParsedRequest,
@@ -93,7 +98,7 @@
 
 impl Driver {
     async fn run(&mut self) {
-        // Its caller may have submitted it before, here or at another entry.
+        // An earlier submission, here or at another entry, may have crashed servers.
         if self.is_quarantined() {
             return self.reject(ProblemKind::Quarantined).await;
         }
@@ -111,8 +116,8 @@
         let Some(existing) = existing.filter(|_| result.0 == Outcome::NotRun) else {
             return self.report_outcome(result).await;
         };
-        // An earlier submission was refused everywhere, which is final for
-        // those places. This one may run at others.
+        // The agents bound by an earlier submission have all refused the operation, and each
+        // refusal is final. The operation may run at other agents.
         match keys::rebind(&self.shared, &self.request, &existing).await {
             Ok(bound) => {
                 let result = self.run_at_most_once(bound).await;
@@ -132,7 +137,7 @@
         self.drive(Call::new(RetryPolicy::AtMostOnce { fences, exclusive: bound.exclusive })).await
     }
 
-    /// Feeds the call until it finishes.
+    /// Carries out the call's actions until it finishes.
     async fn drive(&mut self, mut call: Call) -> (Outcome, Option<Evidence>) {
         let mut action = call.start();
         loop {
@@ -152,7 +157,7 @@
                 Action::ForwardChunk => self.forward_chunk(&mut call).await,
                 Action::Finish { outcome, evidence, cancel } => {
                     if outcome == Outcome::Unknown {
-                        // Charged for what came of it, its prompt at least.
+                        // Charges the prompt and the tokens delivered.
                         let cost = self.request.service.cost;
                         let decoded = cost.units(0, call.delivered());
                         self.admission.settle(self.request.prefill.saturating_add(decoded));
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Whether engines ended under the request, so that it goes to no other.
+    /// Returns whether the request has crashed servers and must not be sent to another one.
     fn is_quarantined(&self) -> bool {
         let now = self.shared.context.clock.now();
         let mut poison_requests = lock(&self.shared.poison_requests);
@@ -233,6 +238,7 @@
         action
     }
 
+    /// Waits for the next event of the attempt, up to the deadline or the stall timeout.
     async fn receive(&mut self, call: &mut Call) -> Action {
         let Some(channel) = &mut self.channel else { return self.handle(call, Event::Lost) };
         let clock = &self.shared.context.clock;
@@ -282,7 +288,7 @@
             return self.handle(call, Event::Deadline);
         }
         let server = self.tried.last().cloned().unwrap_or_default();
-        slog::warn!(self.shared.context.log, "stream stalled; moves it to another server";
+        slog::warn!(self.shared.context.log, "stream stalled; moving it to another server";
             "request" => &self.request.id, "server" => &server);
         self.record_signal(&server, Signal::Stalled);
         if let Some(channel) = self.channel.take() {
@@ -326,7 +332,7 @@
         call.handle(event, &mut lock(&self.shared.budget))
     }
 
-    /// The last attempt is over.
+    /// Closes the channel of the last attempt, or returns it to the pool, and records the result.
     async fn end_attempt(&mut self, outcome: Outcome, evidence: Option<Evidence>, cancel: bool) {
         let Some(channel) = self.channel.take() else { return };
         if cancel {
@@ -362,7 +368,7 @@
         self.reply(Reply::Complete { status, content_type, body });
     }
 
-    /// Refused before any attempt.
+    /// Ends a request before any attempt.
     async fn reject(&mut self, kind: ProblemKind) {
         let may_have_run = matches!(kind, ProblemKind::KeyUnknown | ProblemKind::BadTicket);
         let outcome = if may_have_run { Outcome::Unknown } else { Outcome::NotRun };
@@ -372,8 +378,8 @@
 
     async fn send_problem(&mut self, kind: ProblemKind, outcome: Outcome) {
         let problem = Problem::new(kind, outcome, &self.request.id, None);
-        // A stream that has begun ends with an event that says so, and without
-        // the last event of a whole one.
+        // A stream in progress ends with an error event, and without the final event of a
+        // complete stream.
         if let Some(stream) = self.stream.take() {
             let json = serde_json::to_string(&problem).unwrap_or_default();
             let event = Bytes::from(format!("event: error\ndata: {json}\n\n"));
@@ -383,7 +389,7 @@
         self.reply(Reply::Problem(problem));
     }
 
-    /// The handler may have gone; then nobody is to be told.
+    /// Sends the handler its reply, unless it has one. The handler may have ended.
     fn reply(&mut self, reply: Reply) {
         if let Some(sender) = self.reply.take() {
             let _ = sender.send(reply);
--- a/src/mastweir/entry/calls/start_frame.rs
+++ b/src/mastweir/entry/calls/start_frame.rs
@@ -1,10 +1,10 @@
-//! The order that an agent gets of a call.
+//! Builds the frame that submits a request to an agent.
 
 use super::{super::lock, DEADLINE_MARGIN, Driver};
 use mastweir_core::{id::Fence, wire::Start};
 
 impl Driver {
-    /// The order for an agent.
+    /// Returns the frame that requests the answer from chunk `from`.
     pub(super) fn start_frame(&self, fence: &Fence, from: u64) -> Start {
         let request = &self.request;
         let remaining = self.deadline.since(self.shared.context.clock.now());
--- a/src/mastweir/entry/decisions.rs
+++ b/src/mastweir/entry/decisions.rs
@@ -1,4 +1,4 @@
-//! The last decisions of this entry, for `mastweir explain`.
+//! The latest decisions of this entry, which `mastweir explain` shows.
 
 use super::lock;
 use serde::{Deserialize, Serialize};
@@ -6,25 +6,24 @@
 
 const CAPACITY: usize = 4_096;
 
-/// A routing decision or an end, as an operator reads it.
+/// A routing decision, the end of a request, or a decision on a rank group, as text for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Decision {
     /// Id of the request, or `group NAME`.
     pub subject: String,
-    /// What was decided.
     pub what: String,
-    /// Why, with the figures that were weighed.
+    /// The reason, with the figures that were compared.
     pub why: String,
 }
 
-/// A ring of decisions.
+/// A ring buffer of decisions.
 #[derive(Debug, Default)]
 pub struct Decisions {
     ring: Mutex<VecDeque<Decision>>,
 }
 
 impl Decisions {
-    /// Keeps a decision.
+    /// Adds a decision; drops the oldest if the buffer is full.
     pub fn add(&self, decision: Decision) {
         let mut ring = lock(&self.ring);
         if ring.len() >= CAPACITY {
@@ -33,7 +32,7 @@
         ring.push_back(decision);
     }
 
-    /// All kept decisions on a subject.
+    /// Returns the stored decisions about a subject, oldest first.
     pub fn about(&self, subject: &str) -> Vec<Decision> {
         let ring = lock(&self.ring);
         ring.iter().filter(|decision| decision.subject == subject).cloned().collect()
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -1,4 +1,7 @@
-//! Who is there: the instance list, heartbeats and reports.
+//! Keeps the entry's knowledge of other instances current.
+//!
+//! Watches the instance list at the platform, sends heartbeats to other entries, and subscribes to
+//! the load reports of agents. Datagrams received from entries and agents are dispatched here.
 
 use super::{Shared, heartbeat, lock, table, usage};
 use crate::objects::{Collection, InstanceSpec, InstanceState, WatchEvent, wait_for_outage};
@@ -8,29 +11,27 @@
 use std::{collections::BTreeMap, pin::pin, sync::Arc, time::Duration};
 use tokio::time;
 
-/// Time between heartbeats.
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
-/// Bytes a second that reports may take, and what one takes with its headers
-/// and its part of the subscription.
+/// Bytes per second that reports may use, and the bytes of one report, with headers and its part
+/// of the subscription.
 const REPORT_BUDGET: u64 = 1_800;
 const REPORT_LEN: u64 = 140;
-/// How often the platform is asked whether it answers, beside the watch of instances:
-/// 82 calls a second by 410 entries. An outage shorter than that takes a watch unnoticed;
-/// heartbeats tell of those who leave meanwhile.
+/// Period of the liveness probes during a watch of the instance list. A watch may end unnoticed
+/// in a shorter outage; heartbeats then still report which entries are leaving.
 const PROBE_EVERY: Duration = Duration::from_secs(5);
-/// Time between reports in a small fleet.
+/// Minimum time between reports of an agent.
 const REPORT_PERIOD_MIN: Duration = Duration::from_millis(500);
 const RETRY_MIN: Duration = Duration::from_millis(100);
 const RETRY_MAX: Duration = Duration::from_secs(2);
 
-/// Follows the instance list.
+/// Watches the instance list, and restarts the watch when it ends.
 pub async fn watch_instances(shared: Arc<Shared>) {
     let mut wait = RETRY_MIN;
     loop {
         match watch_once(&shared).await {
             Ok(()) => wait = RETRY_MIN,
             Err(error) => {
-                slog::warn!(shared.context.log, "can't watch the instances; goes on with the last list";
+                slog::warn!(shared.context.log, "can't watch the instance list; keeping the last one";
                     "error" => format!("{error:#}"));
                 time::sleep(wait).await;
                 wait = (wait * 2).min(RETRY_MAX);
@@ -39,7 +40,7 @@
     }
 }
 
-/// Takes datagrams in.
+/// Receives datagrams and dispatches their packets.
 pub async fn receive(shared: Arc<Shared>) {
     while let Ok(received) = shared.socket.recv().await {
         let datagram = received.datagram;
@@ -63,7 +64,7 @@
     }
 }
 
-/// Sends heartbeats and subscriptions.
+/// Sends heartbeats and renews subscriptions, periodically.
 pub async fn send_heartbeats(shared: Arc<Shared>) {
     loop {
         let jitter = lock(&shared.rng).random_range(0.9..1.1);
@@ -75,6 +76,7 @@
     }
 }
 
+/// Reads the instance list and follows its changes until the watch ends.
 async fn watch_once(shared: &Arc<Shared>) -> eyre::Result<()> {
     let platform = &shared.context.objects;
     let list = platform.list::<InstanceSpec>(Collection::Instances).await?;
@@ -82,7 +84,7 @@
     let items = list.items.into_iter();
     let instances: BTreeMap<_, _> =
         items.map(|object| (object.metadata.name, object.spec)).collect();
-    slog::info!(shared.context.log, "instance list"; "instances" => instances.len());
+    slog::info!(shared.context.log, "instance list read"; "instances" => instances.len());
     lock(&shared.view).set_instances(instances);
     subscribe(shared).await;
     let events = platform.watch::<InstanceSpec>(Collection::Instances, version).await?;
@@ -106,6 +108,7 @@
     Ok(())
 }
 
+/// Records a heartbeat and those of other entries that it forwards.
 fn record_heartbeats(shared: &Shared, own: &Heartbeat, others: &[Heartbeat]) {
     let now = shared.context.clock.now();
     let mut members = lock(&shared.members);
@@ -115,6 +118,7 @@
     }
 }
 
+/// Merges reports on crashes under requests, and logs new quarantines.
 fn merge_suspects(shared: &Shared, from: &str, reports: &[SuspectReport]) {
     let now = shared.context.clock.now();
     let mut poison_requests = lock(&shared.poison_requests);
@@ -126,14 +130,15 @@
     }
 }
 
+/// Fetches table rows from a peer in the background.
 fn spawn_fetch(shared: &Arc<Shared>, peer: &str) {
     let Some(addr) = lock(&shared.view).instance(peer).map(|spec| spec.tcp) else { return };
     let shared = shared.clone();
     tokio::spawn(async move { table::fetch(&shared, addr).await });
 }
 
-/// Asks all servers that are routed to for reports, as often as there is room
-/// for in the budget.
+/// Subscribes to the reports of all servers in the routers, at the shortest interval that the
+/// bandwidth limit allows.
 async fn subscribe(shared: &Shared) {
     let addrs = lock(&shared.view).routed_addrs();
     let affordable = Duration::from_millis(1_000 * REPORT_LEN * addrs.len() as u64 / REPORT_BUDGET);
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -1,9 +1,10 @@
-//! Coordinators of rank groups.
+//! Coordinates the expert map changes of rank groups.
 //!
-//! Each group of the own hall has one coordinator, an entry that holds its
-//! lease in the object API. Which entry tries is the rendezvous of group and
-//! live entries, so the groups are spread and hardly ever contended. Without
-//! the platform no lease is taken or renewed, and groups go on as they are.
+//! Each group is coordinated by one entry of its hall, which holds the group's lease in the object
+//! API. Rendezvous hashing over the live entries selects the entry, so groups are spread evenly
+//! and leases are rarely contended. The coordinator sends orders to the agents of the ranks until
+//! all ranks use the target map that an operator has set. While the object API is unavailable, no
+//! lease is taken or renewed, and groups keep their maps.
 
 use super::{Shared, decisions::Decision, lock, status::GroupStatus};
 use crate::objects::{Collection, InstanceRole, Object, ObjectError};
@@ -23,26 +24,23 @@
 };
 use tokio::{task::JoinSet, time};
 
-/// Term of a lease.
 const LEASE_TERM: Duration = Duration::from_secs(8);
-/// Time between renewals.
 const RENEW_PERIOD: Duration = Duration::from_millis(2_500);
-/// Time between rounds while a switch is in progress, and while none is.
+/// Time between rounds of orders during a map change, and otherwise.
 const CHANGE_PERIOD: Duration = Duration::from_millis(5);
 const STEADY_PERIOD: Duration = Duration::from_millis(250);
-/// Time between looks for groups to coordinate.
+/// Time between scans for groups to coordinate.
 const SCAN_PERIOD: Duration = Duration::from_secs(1);
-/// Time for a rank to answer an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which a switch that has granted nothing is given up.
+/// Time after which a map change that has granted nothing is aborted.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The map that a new group begins with.
+/// The map of a new group.
 const INITIAL_MAP: MapVersion = MapVersion(1);
 
-/// The ranks of a group and the agents before them.
+/// Addresses of the agents by rank.
 type RankAddrs = Vec<SocketAddr>;
 
-/// Takes care of the groups that fall to this entry.
+/// Runs a task for each group assigned to this entry.
 pub async fn coordinate(shared: Arc<Shared>) {
     let mut tasks: HashMap<String, tokio::task::AbortHandle> = HashMap::new();
     let mut set = JoinSet::new();
@@ -58,7 +56,7 @@
     }
 }
 
-/// Groups of the own hall that fall to this entry.
+/// Returns the groups of this hall that rendezvous hashing assigns to this entry.
 fn assigned_groups(shared: &Shared) -> Vec<String> {
     let own = shared.context.name.as_str();
     let view = lock(&shared.view);
@@ -82,7 +80,7 @@
     *blake3::hash(format!("{group}/{entry}").as_bytes()).as_bytes()
 }
 
-/// Holds a group's lease and coordinates it, until it falls to another entry.
+/// Renews a group's lease and coordinates the group, until it is assigned to another entry.
 async fn coordinate_group(shared: Arc<Shared>, group: String) {
     let mut task = GroupTask {
         lease: Lease::new(shared.context.fence(), LEASE_TERM),
@@ -102,6 +100,7 @@
     lock(&task.shared.groups).remove(&task.group);
 }
 
+/// Map changes in the lifetime of a task.
 #[derive(Debug, Default)]
 struct ChangeCounts {
     begun: u64,
@@ -109,14 +108,16 @@
     aborted: u64,
 }
 
+/// State of the task that coordinates one group.
 struct GroupTask {
     shared: Arc<Shared>,
     group: String,
     lease: Lease,
     last_renewal: Option<Uptime>,
+    /// `None` while the lease is not held.
     coordinator: Option<(Coordinator, RankAddrs)>,
     change_start: Option<Uptime>,
-    /// What servers last said of their ranks' lives.
+    /// Last report of each server on its ranks' incarnations.
     incarnations: BTreeMap<String, u64>,
     counts: ChangeCounts,
 }
@@ -129,12 +130,12 @@
         }
         self.last_renewal = Some(now);
         if let Err(error) = self.renew().await {
-            slog::warn!(self.shared.context.log, "can't renew a group's lease; the group goes on";
+            slog::warn!(self.shared.context.log, "can't renew a group's lease; the group keeps its map";
                 "group" => &self.group, "error" => %error);
         }
     }
 
-    /// Reads the lease and writes it, if it is ours to write.
+    /// Reads the lease, and writes it if it is free or held by this entry.
     async fn renew(&mut self) -> Result<(), ObjectError> {
         let context = &self.shared.context;
         let name = LeaseRecord::name_of(&self.group);
@@ -163,13 +164,13 @@
         match written {
             Ok(_) => self.lease.mark_written(&record, sent),
             Err(ObjectError::Conflict(_) | ObjectError::Exists(_)) => self.lease.mark_lost(),
-            // It may have landed: the next look tells, by the operation's record.
+            // The write may have been applied. The next renewal reads the record and sees.
             Err(error) => return Err(error),
         }
         Ok(())
     }
 
-    /// One round of orders. Whether a switch, or a seal, is in progress.
+    /// Sends one round of orders. Returns whether a map change or sealing is in progress.
     async fn step(&mut self) -> bool {
         let now = self.shared.context.clock.now();
         let Some(epoch) = self.lease.epoch(now) else {
@@ -196,8 +197,8 @@
         !self.coordinator.as_ref().is_some_and(steady)
     }
 
-    /// A group whose rank was replaced stands still until all ranks are asked
-    /// anew. Servers' reports tell.
+    /// Starts sealing if the reports of servers show that a rank was replaced. The group is
+    /// stalled until all ranks, including the new one, have been sealed.
     fn detect_replaced_ranks(&mut self) {
         let incarnations = lock(&self.shared.view).rank_incarnations(&self.group);
         let changed = |(name, incarnation): (&String, &u64)| {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Sends the orders of a round at once, and takes the replies in.
+    /// Sends the orders of a round concurrently and processes the replies.
     async fn send_orders(&mut self, epoch: u64) {
         let Some((coordinator, ranks)) = &mut self.coordinator else { return };
         let mut replies = JoinSet::new();
@@ -247,7 +248,7 @@
         }
         let before = coordinator.progress();
         while let Some(Ok((rank, order, reply))) = replies.join_next().await {
-            // Woken from a pause, the lease may be another's.
+            // The lease may have passed to another entry while this process was suspended.
             if self.lease.epoch(self.shared.context.clock.now()) != Some(epoch) {
                 return;
             }
@@ -260,6 +261,7 @@
         }
     }
 
+    /// Updates the group's status for operators.
     fn publish_status(&self) {
         let Some((coordinator, _)) = &self.coordinator else { return };
         let grants = coordinator.statuses().iter().flatten().filter_map(|status| status.grant);
@@ -276,7 +278,7 @@
     }
 }
 
-/// The agents before the ranks of a group; `None` while some are not listed.
+/// Returns the addresses of a group's agents by rank; `None` while a rank is not listed.
 fn rank_addrs(shared: &Shared, group: &str) -> Option<RankAddrs> {
     let view = lock(&shared.view);
     let mut addrs: BTreeMap<u16, SocketAddr> = BTreeMap::new();
@@ -290,6 +292,7 @@
     is_complete.then(|| addrs.into_values().collect())
 }
 
+/// Sends an order. A timeout or an error counts as [`RankReply::NotReady`].
 async fn send_order(shared: &Shared, addr: SocketAddr, order: RankOrder) -> RankReply {
     let exchange = async {
         let mut channel = shared.pool.get(addr).await.ok()?;
@@ -302,8 +305,9 @@
     reply.unwrap_or(RankReply::NotReady)
 }
 
+/// Logs a decision and records it for `mastweir explain`.
 fn log_decision(shared: &Shared, group: &str, what: &str, why: &str) {
-    slog::info!(shared.context.log, "placement"; "group" => group, "what" => what, "why" => why);
+    slog::info!(shared.context.log, "map change"; "group" => group, "what" => what, "why" => why);
     let subject = format!("group {group}");
     shared.decisions.add(Decision { subject, what: what.to_owned(), why: why.to_owned() });
 }
--- a/src/mastweir/entry/heartbeat.rs
+++ b/src/mastweir/entry/heartbeat.rs
@@ -1,4 +1,7 @@
-//! Heartbeats between entries: who is there, and how remote its table is.
+//! Heartbeats between entries.
+//!
+//! A heartbeat states that the sender is alive, forwards the heartbeats of some other entries, and
+//! carries the digest of the sender's table. Reports on requests that crashed servers go with it.
 
 use super::{Shared, lock};
 use crate::objects::InstanceRole;
@@ -6,14 +9,14 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
-/// Peers that a heartbeat goes to.
+/// Number of peers in the hall that get a heartbeat.
 const FANOUT: usize = 3;
-/// Requests told beside a heartbeat, of 80 bytes at most.
+/// Maximum suspect requests reported with a heartbeat.
 const SUSPECTS_MAX: usize = 13;
-/// Members named in a heartbeat.
+/// Maximum heartbeats of other entries in a heartbeat.
 const MEMBERS_MAX: usize = 6;
 
-/// Sends a heartbeat to some peers of the hall, and to one of another hall.
+/// Sends a heartbeat to random peers of this hall, and to one of another hall.
 pub async fn send_to_some(shared: &Shared) {
     let peers = pick_peers(shared);
     if peers.is_empty() {
@@ -29,7 +32,8 @@
     }
 }
 
-/// Requests under which engines ended: what is new, and what is quarantined.
+/// Returns the recent reports on requests that crashed servers, then those on quarantined
+/// requests.
 fn suspect_reports(shared: &Shared) -> Vec<SuspectReport> {
     let now = shared.context.clock.now();
     let poison_requests = lock(&shared.poison_requests);
--- a/src/mastweir/entry/http.rs
+++ b/src/mastweir/entry/http.rs
@@ -1,4 +1,7 @@
-//! Towards callers: HTTP by `rocket`.
+//! HTTP server for callers and operators, based on `rocket`.
+//!
+//! A single handler serves all paths. It authenticates the customer by its key, parses and admits
+//! the request, and starts a task that runs it. Paths under `/-/` go to [`operator`].
 
 use super::{
     Shared,
@@ -39,23 +42,23 @@
     [Method::Get, Method::Post, Method::Put, Method::Delete, Method::Patch, Method::Head];
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 const TICKET_PATH: &str = "/v1/tickets";
-/// Requests that run at an entry at once at most, of all customers.
+/// Maximum requests in flight at an entry.
 const ACTIVE_MAX: usize = 8_192;
-/// Characters of a caller's key at most.
+/// Maximum bytes of an idempotency key.
 const KEY_MAX: usize = 1_024;
-/// Characters of a prompt that count as its prefix.
+/// Characters of a prompt that are hashed as its prefix.
 const PREFIX_LEN: usize = 512;
-/// Characters of a token, roughly, before it is known better.
+/// Bytes of text per model token, to estimate the length of a prompt.
 const CHARS_PER_TOKEN: usize = 4;
-/// Tokens generated if the caller names no bound.
+/// Assumed model tokens of an answer if the request has no `max_tokens`.
 const MAX_TOKENS_DEFAULT: u64 = 256;
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// Starts to serve. Gives the address and a way to stop.
+/// Starts the server. Returns its address and a handle that stops it.
 pub async fn launch(shared: Arc<Shared>) -> eyre::Result<(SocketAddr, Shutdown)> {
     let (sender, receiver) = oneshot::channel();
     let sender = Mutex::new(Some(sender));
-    let liftoff = AdHoc::on_liftoff("tell the address", move |rocket| {
+    let liftoff = AdHoc::on_liftoff("report the address", move |rocket| {
         let config = rocket.config();
         let addr = SocketAddr::new(config.address, config.port);
         if let Some(sender) = lock(&sender).take() {
@@ -65,13 +68,13 @@
     });
     let rocket = build(&shared).attach(liftoff).ignite().await.map_err(|error| {
         let error = error.kind().to_string();
-        eyre::eyre!("starting to serve callers: {error}; check --http")
+        eyre::eyre!("can't start the HTTP server: {error}; check --http")
     })?;
     let shutdown = rocket.shutdown();
     let log = shared.context.log.clone();
     let serving = tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
-            slog::error!(log, "can't serve callers"; "error" => error.kind().to_string());
+            slog::error!(log, "HTTP server failed"; "error" => error.kind().to_string());
         }
     });
     match receiver.await {
@@ -79,7 +82,7 @@
         Err(_) => {
             serving.abort();
             let addr = shared.options.http;
-            Err(eyre::eyre!("listening at {addr}: not possible; choose another --http"))
+            Err(eyre::eyre!("can't listen for HTTP at {addr}; choose another address with --http"))
         }
     }
 }
@@ -109,7 +112,7 @@
     rocket::custom(config).mount("/", routes)
 }
 
-/// The one handler: the path decides.
+/// Handler of all paths.
 #[derive(Clone)]
 struct RootHandler {
     shared: Arc<Shared>,
@@ -127,7 +130,7 @@
         let reply = match self.serve(request, data, &id).await {
             Ok(reply) => reply,
             Err((kind, retry_after)) => {
-                // Refused before anything was sent anywhere.
+                // Nothing was sent to a server yet.
                 let problem = Problem::new(kind, Outcome::NotRun, &id, retry_after);
                 Reply::Problem(problem)
             }
@@ -136,6 +139,7 @@
     }
 }
 
+/// Kind of problem, and seconds after which the caller may retry.
 type Rejection = (ProblemKind, Option<u32>);
 
 impl RootHandler {
@@ -234,7 +238,7 @@
     }
 }
 
-/// What a request asks for, as far as its path and body tell.
+/// What the path and body of a request state.
 struct RequestInfo {
     kind: ServiceKind,
     service: String,
@@ -244,7 +248,7 @@
     prefix_hash: Option<u64>,
 }
 
-/// The fields of a model request that are looked at.
+/// The fields of a model request that are used here.
 #[derive(Debug, Deserialize)]
 struct ModelBody {
     model: String,
@@ -256,6 +260,8 @@
 }
 
 impl RequestInfo {
+    /// Parses a model request by its body, or any other request by the first segment of its path.
+    /// `None` if the body is invalid.
     fn parse(path: &str, body: &[u8]) -> Option<Self> {
         if !MODEL_PATHS.contains(&path) {
             let service = path.trim_start_matches('/').split('/').next()?.to_owned();
@@ -284,7 +290,7 @@
         })
     }
 
-    /// Units of the prompt, and of all.
+    /// Returns the estimated units of the prompt, and of the whole request.
     fn units(&self, service: &Service) -> (u32, u32) {
         let cost = service.cost;
         (cost.units(self.prompt_tokens, 0), cost.units(self.prompt_tokens, self.max_tokens))
@@ -295,7 +301,7 @@
     format!("{}-{:016x}", shared.context.name, rand::rng().random::<u64>())
 }
 
-/// A reply as `rocket` sends it.
+/// A reply, and the request's id if it has one.
 struct HttpReply {
     id: String,
     reply: Reply,
--- a/src/mastweir/entry/keys.rs
+++ b/src/mastweir/entry/keys.rs
@@ -1,9 +1,13 @@
-//! Where an operation that may not be repeated may run.
+//! Idempotency keys: binds operations that may run only once to agents.
 //!
-//! Three ways to name it: no key (only this call submits it), a ticket (the
-//! caller holds the list of places), a plain key (the list is kept in the
-//! object API, created by the first submission). A plain key whose first
-//! submission can't be looked up is refused as unknown: it may have run.
+//! An operation is bound to a short list of agent incarnations and runs at most once at one of
+//! them. The list is found by the request's idempotency key:
+//!
+//! - Without a key, the list is chosen for this call, and no other call submits the operation.
+//! - A ticket contains the list, authenticated by the entries' secret.
+//! - For any other key, the first submission stores the list in the object API. If the stored
+//!   list can't be read, the request is rejected with an unknown outcome, as an earlier
+//!   submission may have run.
 
 use super::{
     Shared, lock, parsed_request::ParsedRequest, problem::ProblemKind, view::ChosenServer,
@@ -17,33 +21,32 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Time for which a key or ticket finds its operation.
+/// Time for which bindings by key or ticket are valid.
 pub const KEY_LIFETIME: Duration = Duration::from_secs(600);
-/// What an order without key may be late by.
+/// Time beyond the deadline for which bindings without a key are valid.
 const EXCLUSIVE_SLACK: Duration = Duration::from_secs(30);
 const TICKET_PURPOSE: &str = "mastweir 2026 ticket";
 
-/// Where an operation may run.
+/// An operation and the agents at which it may run.
 #[derive(Clone, Debug)]
 pub struct BoundOperation {
-    /// The operation.
     pub op: OpId,
-    /// In this order.
+    /// Agent incarnations, in the order in which to try them.
     pub bindings: Vec<Binding>,
-    /// Whether only this call submits it.
+    /// Whether no other call submits the operation.
     pub exclusive: bool,
-    /// The decision, if it was made now.
+    /// The routing decision for the first binding, if it was made by this call.
     pub chosen: Option<ChosenServer>,
-    /// The object of a plain key that was submitted before.
+    /// The stored bindings, if an earlier submission of the same key made them.
     pub existing: Option<Object<KeySpec>>,
 }
 
-/// Finds or makes the places of an order.
+/// Finds the bindings of a request's key, or makes new ones.
 ///
 /// # Errors
 ///
-/// The kind of problem; with [`ProblemKind::KeyUnknown`] and [`ProblemKind::BadTicket`] the
-/// operation may have run.
+/// The kind of problem. After [`ProblemKind::KeyUnknown`] and [`ProblemKind::BadTicket`], an
+/// earlier submission may have run.
 pub async fn resolve(
     shared: &Shared,
     request: &ParsedRequest,
@@ -66,11 +69,11 @@
     }
 }
 
-/// Makes a ticket for a customer.
+/// Issues a ticket for one operation of a customer.
 ///
 /// # Errors
 ///
-/// [`ProblemKind::NoServer`] if no server is known for the service.
+/// [`ProblemKind::NoServer`] if the service has no available server.
 pub fn make_ticket(shared: &Shared, customer: &str, service: &str) -> Result<String, ProblemKind> {
     let (bindings, _) = choose_bindings_for(shared, service, &Request::default(), KEY_LIFETIME)?;
     let ticket = Ticket {
@@ -82,12 +85,14 @@
     Ok(ticket.to_text(&shared.context.secret.derive_key(TICKET_PURPOSE)))
 }
 
-/// After all places of a plain key refused for good: binds it to new ones. Only
-/// one entry's try lands, so at most one list is ever in use.
+/// Replaces the stored bindings of a key after all of its agents have refused the operation for
+/// good. If several entries try, the object API accepts one of the updates, and the others use
+/// its bindings.
 ///
 /// # Errors
 ///
-/// [`ProblemKind::KeyUnknown`] if it can't be told whether it landed.
+/// [`ProblemKind::KeyUnknown`] if the result of the update is unknown;
+/// [`ProblemKind::NoServer`] if the service has no available server.
 pub async fn rebind(
     shared: &Shared,
     request: &ParsedRequest,
@@ -137,7 +142,7 @@
         Err(ObjectError::Exists(_)) => from_existing(shared, op, &name).await,
         Err(error) if error.is_outcome_unknown() => {
             let object = read_key(shared, &name).await?;
-            // The reply was lost: whose write landed stands in the object.
+            // The reply was lost. The object names the write that created it.
             if object.written.operation == written {
                 return Ok(from_created(op, object, chosen));
             }
@@ -188,7 +193,7 @@
 }
 
 fn random_op() -> OpId {
-    // Not from the entry's own generator: a seeded one would draw the same
-    // operations again after a restart.
+    // Not from the entry's own generator, which would repeat ids after a restart if it has a
+    // seed.
     OpId(rand::rng().random())
 }
--- a/src/mastweir/entry/mod.rs
+++ b/src/mastweir/entry/mod.rs
@@ -1,13 +1,13 @@
-//! The entry instance, between callers and agents.
+//! The entry: accepts callers' HTTP requests and sends them to the agents of servers.
 //!
-//! The way of a request: [`http`] reads it and finds its customer;
-//! [`admit`] applies the customer's limits; [`calls`] carries out what a
-//! [`Call`] asks for, with [`view`] choosing servers; the answer goes back as it
-//! comes, or whole. Beside it run tasks that keep the entry informed:
-//! [`table`] (rows), [`fleet`] (instances, members, reports), [`usage`]
-//! (fleet-wide shares) and [`groups`] (coordinators of rank groups).
+//! A request passes through these modules: [`http`] parses it and authenticates its customer;
+//! [`admit`] applies the customer's limits; [`calls`] carries out the actions of a [`Call`], for
+//! which [`view`] chooses servers. The answer is returned when it is complete, or streamed.
 //!
-//! An entry keeps nothing that a request needs after its own end.
+//! Background tasks keep the state that requests need: [`table`] (rows), [`fleet`] (instances,
+//! membership and load reports), [`usage`] (fleet-wide shares) and [`groups`] (coordination of
+//! rank groups). Entries store nothing on disk. What a later submission of the same request needs
+//! is kept by agents, in tickets and in the object API.
 //!
 //! [`Call`]: mastweir_core::outcome::Call
 
@@ -53,42 +53,41 @@
 };
 use tokio::{net::TcpListener, sync::watch, task::JoinSet, time};
 
-/// Time that the platform's balancer has to see that an entry leaves.
+/// Time in which the platform's load balancer notices that an entry is not ready any more.
 const BALANCER_DELAY: Duration = Duration::from_millis(500);
 
-/// How an entry is set up.
 #[derive(Clone, Debug)]
 pub struct EntryOptions {
-    /// Address for other entries, channels and datagrams; port 0 chooses one.
+    /// Address for channels and datagrams of other entries; port 0 chooses a free port.
     pub listen: SocketAddr,
-    /// Address for callers and operators; port 0 chooses one.
+    /// Address for callers and operators; port 0 chooses a free port.
     pub http: SocketAddr,
     /// Hash of the operators' key.
     pub operator: String,
-    /// Time that running requests have at a planned stop.
+    /// Time for requests in flight to complete at a graceful stop.
     pub grace: Duration,
-    /// Seed of the entry's random choices; drawn if not given.
+    /// Seed of the entry's random choices; random if `None`.
     pub seed: Option<u64>,
 }
 
-/// A running entry.
+/// A running entry. See the [module](self).
 #[derive(Debug)]
 pub struct EntryInstance {
-    /// Where it serves callers and operators.
+    /// Address for callers and operators.
     pub http: SocketAddr,
-    /// Where it listens for channels.
+    /// Address for channels of other entries.
     pub tcp: SocketAddr,
-    /// Where it listens for datagrams.
+    /// Address for datagrams.
     pub udp: SocketAddr,
     shared: Arc<Shared>,
     shutdown: Shutdown,
     tasks: JoinSet<()>,
 }
 
-/// What the entry's tasks share.
+/// State shared by the entry's tasks.
 ///
-/// Where two locks are held at once, they are taken in this order: `table`,
-/// `view`, `members`, `usage`, `limits`, `rng`. None is held over a wait.
+/// Locks that are held together are acquired in this order: `table`, `view`, `members`, `usage`,
+/// `limits`, `rng`. No lock is held across an `await`.
 #[derive(Debug)]
 pub(crate) struct Shared {
     context: Context,
@@ -102,18 +101,19 @@
     limits: Mutex<admit::Limits>,
     usage: Mutex<usage::UsageExchange>,
     budget: Mutex<RetryBudget>,
-    /// Requests under which engines ended.
     poison_requests: Mutex<PoisonRequests>,
     rng: Mutex<StdRng>,
     decisions: decisions::Decisions,
-    /// Maps that operators or the planner want, by group.
+    /// Expert maps set by operators, by group.
     target_maps: Mutex<HashMap<String, MapVersion>>,
     groups: Mutex<HashMap<String, GroupStatus>>,
     leaving: AtomicBool,
-    /// Whether the table is being fetched from a peer, and whether peers are
-    /// about to be told: a burst of rows must not begin either for each row.
+    /// Whether the table is being fetched from a peer. With `has_pending_notice`, prevents one
+    /// task for each row of a burst of changes.
     is_fetching: AtomicBool,
+    /// Whether peers are about to be notified of a change of the table.
     has_pending_notice: AtomicBool,
+    /// Number of requests in flight.
     active: AtomicUsize,
     stop: watch::Sender<bool>,
 }
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// An address can't be used.
+    /// An address can't be bound.
     pub async fn start(context: Context, options: EntryOptions) -> eyre::Result<Self> {
         let listener = TcpListener::bind(options.listen).await?;
         let tcp = listener.local_addr()?;
@@ -140,38 +140,38 @@
         tasks.spawn(fleet::send_heartbeats(shared.clone()));
         tasks.spawn(usage::run_exchange(shared.clone()));
         tasks.spawn(groups::coordinate(shared.clone()));
-        slog::info!(shared.context.log, "entry listens"; "http" => %http, "tcp" => %tcp,
+        slog::info!(shared.context.log, "entry listening"; "http" => %http, "tcp" => %tcp,
             "udp" => %udp, "incarnation" => shared.context.incarnation.0);
         Ok(Self { http, tcp, udp, shared, shutdown, tasks })
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the entry accepts requests.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Version of the table in force.
+    /// Returns the version of the active table.
     pub fn table_version(&self) -> u64 {
         lock(&self.shared.table).complete()
     }
 
-    /// Calls made to the object API so far.
+    /// Returns the number of calls made to the object API.
     pub fn platform_calls(&self) -> u64 {
         self.shared.context.objects.calls()
     }
 
-    /// Datagrams of its control traffic so far.
+    /// Returns the datagrams sent and received.
     pub fn traffic(&self) -> Traffic {
         self.shared.socket.traffic()
     }
 
-    /// Stops as planned: not ready first, then nothing new, then waits for what
-    /// runs.
+    /// Stops gracefully: reports not ready, rejects new requests, and waits for those in flight, up
+    /// to the grace time.
     pub async fn stop(mut self) {
         let shared = self.shared.clone();
         shared.leaving.store(true, Ordering::SeqCst);
         let active = || shared.active.load(Ordering::SeqCst);
-        slog::info!(shared.context.log, "entry leaves"; "active" => active());
+        slog::info!(shared.context.log, "entry stopping"; "active" => active());
         time::sleep(BALANCER_DELAY).await;
         let idle = async {
             while active() > 0 {
@@ -182,10 +182,10 @@
         self.shutdown.clone().notify();
         let _ = shared.stop.send(true);
         self.tasks.shutdown().await;
-        slog::info!(shared.context.log, "entry has left"; "all_ended" => in_time);
+        slog::info!(shared.context.log, "entry stopped"; "all_ended" => in_time);
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, as in a crash.
     pub async fn kill(mut self) {
         self.shutdown.clone().notify();
         let _ = self.shared.stop.send(true);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Whether it takes requests: it has a table, knows servers, and stays.
+    /// Returns whether the entry has a table and the instance list, and is not stopping.
     fn is_ready(&self) -> bool {
         let has_table = lock(&self.table).complete() > 0;
         let has_list = lock(&self.view).has_list();
@@ -233,7 +233,7 @@
     }
 }
 
-/// Locks, whatever became of a former holder: state is changed in whole steps.
+/// Locks a mutex, also after a panic of a holder: no holder leaves state half changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/mastweir/entry/operator.rs
+++ b/src/mastweir/entry/operator.rs
@@ -1,4 +1,7 @@
-//! Towards operators: under `/-/`, with the operators' key.
+//! HTTP API for operators, under `/-/`.
+//!
+//! The probes `ready` and `live` are open to the platform's load balancer. Everything else needs
+//! the operators' key.
 
 use super::{
     Shared, lock,
@@ -18,13 +21,13 @@
 const EXPLAIN: &str = "/-/explain/";
 const GROUPS: &str = "/-/groups/";
 
-/// The map that an operator wants for a group.
+/// The target map of a group, as an operator sends it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct TargetMapBody {
     map: u64,
 }
 
-/// Answers an operator, or the platform's balancer.
+/// Handles a request of an operator or of the platform's load balancer.
 pub async fn handle(shared: &Arc<Shared>, request: &Request<'_>, data: Data<'_>) -> Reply {
     let path = request.uri().path().as_str();
     match path {
--- a/src/mastweir/entry/parsed_request.rs
+++ b/src/mastweir/entry/parsed_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way through an entry.
+//! A caller's request in the form in which the entry processes it.
 
 use mastweir_core::{
     gateway::{Fingerprint, RequestParts},
@@ -6,41 +6,35 @@
     table::Service,
 };
 
-/// A request that was read and let in.
+/// A parsed request of a customer, with the row of its service.
 #[derive(Clone, Debug)]
 pub struct ParsedRequest {
-    /// Its id.
     pub id: String,
-    /// Name of its customer.
+    /// Name of the customer.
     pub customer: String,
-    /// The customer's weight.
+    /// Weight of the customer.
     pub weight: f64,
-    /// Name of the service.
     pub service_name: String,
-    /// The service's row.
     pub service: Service,
-    /// HTTP method.
     pub method: String,
     /// Path and query at the server.
     pub path: String,
-    /// Content type of the body.
     pub content_type: Option<String>,
-    /// The body.
     pub body: Vec<u8>,
-    /// Whether a stream is asked for.
+    /// Whether the caller requests a streamed answer.
     pub streamed: bool,
-    /// Key of a call that may not be repeated.
+    /// Idempotency key. `None` if the caller sent none or the service is repeatable.
     pub key: Option<String>,
-    /// Units of the prompt.
+    /// Estimated units of the prompt.
     pub prefill: u32,
-    /// Units estimated in all.
+    /// Estimated units of the whole request.
     pub cost: u32,
-    /// Hash of the prompt's prefix.
+    /// Hash of the first part of the prompt, for affinity; `None` except for models.
     pub prefix_hash: Option<u64>,
 }
 
 impl ParsedRequest {
-    /// What it has in common with other submissions of the same request.
+    /// Returns the fingerprint, which all submissions of the same request share.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(RequestParts {
             customer: &self.customer,
@@ -50,7 +44,7 @@
         })
     }
 
-    /// What the router looks at.
+    /// Returns the properties that the router uses.
     pub fn routing<'a>(&self, tried: &'a [String]) -> Request<'a> {
         Request { prefix: self.prefix_hash, saved_units: self.prefill / 2, cost: self.cost, tried }
     }
--- a/src/mastweir/entry/problem.rs
+++ b/src/mastweir/entry/problem.rs
@@ -1,4 +1,6 @@
-//! What a caller is told when there is no answer: `application/problem+json`.
+//! Problems: the `application/problem+json` bodies that callers get instead of an answer.
+//!
+//! Each problem states whether the request may have run, and what the caller can do.
 
 use mastweir_core::{
     gateway::QUARANTINE_DURATION,
@@ -6,62 +8,57 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A problem, with the outcome and the remedy.
+/// A problem as callers get it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Stable name of the kind of problem.
+    /// URN of the kind of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind in words.
     pub title: String,
-    /// HTTP status.
     pub status: u16,
-    /// Whether the request was run.
+    /// Whether the request has run.
     pub outcome: Outcome,
-    /// What to do.
     pub remedy: String,
-    /// Id of the request, for `mastweir explain`.
+    /// Id of the request, as `mastweir explain` takes it.
     pub request: String,
-    /// Seconds after which to come back.
+    /// Seconds after which the caller may retry.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u32>,
 }
 
-/// Kinds of problems.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProblemKind {
-    /// No such key.
+    /// No customer has the key.
     Unauthorized,
-    /// No such service or model.
+    /// The service or model does not exist.
     NoService,
-    /// The request can't be read.
+    /// The request is malformed or too long.
     BadRequest,
-    /// Larger than the row allows.
+    /// The request costs more than the customer's row allows.
     TooLarge,
-    /// A limit of the row.
+    /// The customer has reached a limit of its row.
     Limit,
-    /// All servers are full.
     Overloaded,
-    /// No server is there.
+    /// No server is available.
     NoServer,
-    /// The time was over.
+    /// The request did not complete in time.
     Deadline,
     /// The connection to the server was lost.
     Lost,
-    /// The key's first submission can't be looked up now.
+    /// The bindings of the idempotency key can't be read.
     KeyUnknown,
-    /// The ticket is not valid.
+    /// The ticket is invalid or has expired.
     BadTicket,
-    /// It ran, and its answer is not kept.
+    /// The request has run, and its answer is no longer stored.
     AnswerEvicted,
-    /// Engines ended under it.
+    /// The request has crashed servers.
     Quarantined,
-    /// This entry leaves, or has not caught up yet.
+    /// The entry is starting or stopping.
     NotReady,
 }
 
 impl ProblemKind {
-    /// The kind for a call that ended with this.
+    /// Returns the kind for a call that ended without an answer.
     pub const fn of(outcome: Outcome, evidence: Option<Evidence>) -> Self {
         match evidence {
             Some(Evidence::Refused(Refusal::Overloaded | Refusal::TableFull)) => Self::Overloaded,
@@ -81,7 +78,7 @@
         }
     }
 
-    /// Seconds after which to come back, where nothing else is known.
+    /// Returns the default time after which the caller may retry, in seconds.
     fn retry_after(self, status: u16) -> Option<u32> {
         match self {
             Self::Quarantined => u32::try_from(QUARANTINE_DURATION.as_secs()).ok(),
@@ -89,6 +86,7 @@
         }
     }
 
+    /// Returns the name in the URN, the HTTP status, the title and the remedy.
     const fn details(self) -> (&'static str, u16, &'static str, &'static str) {
         match self {
             Self::Unauthorized => (
@@ -177,7 +175,7 @@
 }
 
 impl Problem {
-    /// A problem of a request.
+    /// Creates a problem of a request. `retry_after` replaces the default of the kind.
     pub fn new(
         kind: ProblemKind,
         outcome: Outcome,
--- a/src/mastweir/entry/status.rs
+++ b/src/mastweir/entry/status.rs
@@ -1,104 +1,94 @@
-//! What an entry says of itself to operators.
+//! Status of an entry, as `/-/status` returns it to operators.
 
 use super::{Shared, lock};
 use crate::net::Traffic;
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::Ordering;
 
-/// A server as the entry sees it.
+/// A server of a service as the entry sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Name.
     pub name: String,
-    /// Service for which it is looked at.
     pub service: String,
-    /// Whether it was heard of.
+    /// Whether its agent has reported.
     pub reported: bool,
-    /// Seconds since the last report.
+    /// Seconds since the last report; 0 without a report.
     pub age_s: f64,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u16,
-    /// Requests that run there.
+    /// Requests that it is running.
     pub running: u16,
-    /// Whether it leaves or is drained.
+    /// Whether it is stopping or drained.
     pub leaving: bool,
     /// Whether this entry has ejected it.
     pub ejected: bool,
-    /// Expected seconds to the first token.
+    /// Expected seconds to the first model token.
     pub wait_s: f64,
-    /// Slowest rank over mean, in thousandths.
+    /// Time of the slowest rank relative to the mean, in thousandths.
     pub skew: u16,
 }
 
 /// A customer's share as the entry sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareStatus {
-    /// Name.
     pub customer: String,
-    /// Weight in its row.
     pub weight: f64,
-    /// Part of all weights, in percent.
+    /// Its weight in percent of the sum of all weights.
     pub promised_pct: f64,
-    /// Units a second that it asks for here.
+    /// Units per second that it asks for at this entry.
     pub own_rate: u64,
-    /// Units a second that it asks for fleet-wide, as last heard.
+    /// Units per second that it asks for fleet-wide, by the last total received.
     pub fleet_rate: u64,
-    /// Chance with which its requests are let in.
+    /// Fraction of its requests that is admitted, in 0..=1.
     pub chance: f64,
-    /// Requests in flight here.
+    /// Requests in flight at this entry.
     pub inflight: u32,
 }
 
 /// A rank group that the entry coordinates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// Name.
     pub name: String,
-    /// Epoch of its lease here.
+    /// Epoch of the lease that this entry holds.
     pub epoch: u64,
-    /// How far its coordinator is.
+    /// Phase of its coordinator.
     pub progress: String,
-    /// Switches done in this epoch.
+    /// Map changes completed since this entry took over the group.
     pub switches: u64,
-    /// Switches begun.
+    /// Map changes begun since then.
     pub begun: u64,
-    /// Switches given up.
+    /// Map changes aborted since then.
     pub given_up: u64,
-    /// The map that all ranks were last known to run.
+    /// Highest version of the map that a rank was last known to use.
     pub map: u64,
 }
 
-/// An entry's status.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Name.
     pub name: String,
-    /// Hall.
     pub hall: String,
-    /// Whether it takes requests.
+    /// Whether the entry accepts requests.
     pub ready: bool,
-    /// Whether it leaves.
+    /// Whether the entry is stopping.
     pub leaving: bool,
-    /// Version of the table in force.
+    /// Version of the active table.
     pub table: u64,
-    /// Requests that run.
+    /// Requests in flight.
     pub active: usize,
-    /// Entries that it believes alive.
+    /// Names of the entries that it considers alive.
     pub alive: Vec<String>,
-    /// Servers.
     pub servers: Vec<ServerStatus>,
-    /// Shares.
     pub shares: Vec<ShareStatus>,
-    /// Groups that it coordinates.
+    /// Rank groups that it coordinates.
     pub groups: Vec<GroupStatus>,
-    /// Calls made to the object API.
+    /// Calls made to the object API since the start.
     pub platform_calls: u64,
-    /// Datagrams of its control traffic.
+    /// Datagrams sent and received.
     pub traffic: Traffic,
 }
 
-/// The status now. Each lock is given back before the next is taken: within one
-/// expression they would all be held to its end.
+/// Returns the current status. Locks are acquired in separate statements, since those acquired in
+/// one expression would all be held until its end.
 pub fn collect(shared: &Shared) -> EntryStatus {
     let table = lock(&shared.table).complete();
     let alive = lock(&shared.members).alive().map(str::to_owned).collect();
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -1,9 +1,9 @@
-//! Keeping the table in force.
+//! Replicates the table of customers, services and drained servers from the platform.
 //!
-//! Two entries of each hall watch the platform, by their order among those that
-//! are alive; the others hear of changes from their peers and fetch what they
-//! lack. An entry that hears of nobody watches for itself. Whatever comes goes
-//! through [`Table`], where no version reverts.
+//! In each hall, the two live entries with the first names watch the rows in the object API. Other
+//! entries learn of new versions from heartbeats and fetch the rows that they lack from a peer. An
+//! entry that receives no heartbeats counts itself as first, and watches. All changes go through
+//! [`Table`], which never returns to an older version.
 
 use super::{Shared, heartbeat, lock};
 use crate::{
@@ -28,42 +28,38 @@
     time,
 };
 
-/// Entries of a hall that watch the platform.
+/// Number of entries of a hall that watch the rows.
 const WATCHERS: usize = 2;
-/// Time between looks whether this entry is to watch.
+/// Time between checks whether this entry has to watch.
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// Longest wait after the platform failed.
+/// Bounds of the backoff after a failed watch.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 const RETRY_MIN: Duration = Duration::from_millis(100);
-/// How often the platform is asked whether it answers, beside a watch: 14 calls a second
-/// by the two watchers of each of 7 halls.
+/// Period of the liveness probes during a watch of the rows.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Time in which changes are gathered before peers are told of them.
+/// Time for which changes are collected before peers are notified.
 const NOTIFY_DELAY: Duration = Duration::from_millis(10);
-/// Time for a peer to send what is lacking.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Rows of one frame at most; a row is at most some hundred bytes.
+/// Maximum rows of a frame.
 const ROWS_MAX: usize = 100;
 
-/// The rows that requests need, by how they need them.
+/// The rows that requests need, indexed.
 #[derive(Debug, Default)]
 pub struct TableRows {
-    /// Customers by the hash of their key.
+    /// Names and rows of customers by the hash of their key.
     pub by_key: HashMap<String, (String, Customer)>,
-    /// Customers by name.
     pub customers: HashMap<String, Customer>,
-    /// Services by name.
     pub services: HashMap<String, Service>,
 }
 
-/// The rows in force, as one value that is replaced whole.
+/// The active rows, which are replaced as a whole with each change of the table.
 #[derive(Debug, Default)]
 pub struct ActiveRows {
     rows: Mutex<Arc<TableRows>>,
 }
 
 impl ActiveRows {
-    /// The rows in force now.
+    /// Returns the current rows.
     pub fn get(&self) -> Arc<TableRows> {
         lock(&self.rows).clone()
     }
@@ -87,7 +83,7 @@
     }
 }
 
-/// Watches the platform as long as it is this entry's turn.
+/// Watches the rows in the object API whenever this entry is one of the hall's watchers.
 pub async fn watch_rows(shared: Arc<Shared>) {
     let mut wait = RETRY_MIN;
     loop {
@@ -98,7 +94,7 @@
         match watch_once(&shared).await {
             Ok(()) => wait = RETRY_MIN,
             Err(error) => {
-                slog::warn!(shared.context.log, "can't watch the table; goes on with what it has";
+                slog::warn!(shared.context.log, "can't watch the table; keeping its current version";
                     "error" => format!("{error:#}"), "version" => lock(&shared.table).complete());
                 time::sleep(wait).await;
                 wait = (wait * 2).min(RETRY_MAX);
@@ -107,10 +103,10 @@
     }
 }
 
-/// Fetches what a peer has and this entry lacks.
+/// Fetches the rows that this entry lacks from a peer, unless another fetch is in progress.
 pub async fn fetch(shared: &Arc<Shared>, addr: SocketAddr) {
     if shared.is_fetching.swap(true, Ordering::SeqCst) {
-        // What comes later is in the next heartbeat.
+        // Later changes are fetched after the peer's next heartbeat.
         return;
     }
     let fetched = time::timeout(FETCH_TIMEOUT, fetch_delta(shared, addr)).await;
@@ -121,7 +117,7 @@
     }
 }
 
-/// Answers peers that lack rows.
+/// Accepts connections of peers that fetch rows.
 pub async fn serve_peers(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -138,7 +134,7 @@
     }
 }
 
-/// Whether this entry is one of the first of its hall that are alive.
+/// Returns whether this entry is among the first live entries of its hall, by name.
 fn is_watcher(shared: &Shared) -> bool {
     let own = shared.context.name.as_str();
     let view = lock(&shared.view);
@@ -153,6 +149,7 @@
     alive.iter().take(WATCHERS).any(|name| *name == own)
 }
 
+/// Reads all rows and follows their changes, until the watch ends or another entry takes over.
 async fn watch_once(shared: &Arc<Shared>) -> eyre::Result<()> {
     let platform = &shared.context.objects;
     let list = platform.list::<serde_json::Value>(Collection::Rows).await?;
@@ -160,7 +157,7 @@
     let rows =
         list.items.iter().filter_map(|object| versioned_row(shared, object, false)).collect();
     merge(shared, &Delta { after: 0, upto, rows });
-    // The list may be stale: watch from where it ends, not from what is held.
+    // The list may be older than the table, so the watch continues from the list's version.
     let events = platform.watch::<serde_json::Value>(Collection::Rows, upto).await?;
     let outage = wait_for_outage(platform, Collection::Rows, PROBE_EVERY, &shared.context.log);
     let mut events = pin!(events.take_until(outage));
@@ -181,8 +178,8 @@
     Ok(())
 }
 
-/// One row as the table keeps it. A row that can't be read, or is bad, is left
-/// as it was, and does not stop the others.
+/// Converts an object to a row of the table. An invalid row is logged and keeps its previous
+/// content; `None` if it had none.
 fn versioned_row(
     shared: &Shared,
     object: &Object<serde_json::Value>,
@@ -197,12 +194,16 @@
     let row = serde_json::from_value::<Row>(object.spec.clone());
     let checked = row.map_err(|error| error.to_string()).and_then(|row| {
         row.check(&key.name).map_err(|error| error.to_string())?;
-        if row.kind() == key.kind { Ok(row) } else { Err("kind and name differ".to_owned()) }
+        if row.kind() == key.kind {
+            Ok(row)
+        } else {
+            Err("the kind of the row differs from the kind in its name".to_owned())
+        }
     });
     match checked {
         Ok(row) => Some(VersionedRow { key, version, row: Some(row) }),
         Err(error) => {
-            slog::error!(shared.context.log, "a row in the object API is bad; keeps the former one";
+            slog::error!(shared.context.log, "invalid row in the object API; keeping its previous version";
                 "row" => name, "error" => error);
             shared.context.metrics.count("table.bad_row");
             let previous = lock(&shared.table).get(&key).cloned();
@@ -216,7 +217,7 @@
     let version = change.version;
     let changed = lock(&shared.table).apply_event(change);
     if changed {
-        slog::info!(shared.context.log, "row in force"; "row" => %key, "version" => version);
+        slog::info!(shared.context.log, "row activated"; "row" => %key, "version" => version);
         activate(shared);
     }
 }
@@ -228,13 +229,13 @@
         table.merge(delta) && table.complete() > before
     };
     if merged {
-        slog::info!(shared.context.log, "table in force"; "version" => delta.upto,
+        slog::info!(shared.context.log, "table activated"; "version" => delta.upto,
             "rows" => delta.rows.len());
         activate(shared);
     }
 }
 
-/// Requests see the change from here on, and peers are told at once.
+/// Activates the rows of the table for new requests, and notifies peers shortly afterwards.
 fn activate(shared: &Arc<Shared>) {
     let drained: HashSet<String> = {
         let table = lock(&shared.table);
@@ -290,7 +291,7 @@
     Ok(())
 }
 
-/// A delta in parts that fit into frames.
+/// Splits a delta into frames.
 fn frames(delta: &Delta) -> Vec<PeerFrame> {
     const _: () = assert!(ROWS_MAX * 512 < FRAME_MAX);
     let Delta { after, upto, rows } = delta;
@@ -306,7 +307,7 @@
     chunks.into_iter().enumerate().map(frame).collect()
 }
 
-/// Whether a peer's digest is ahead of what is in force here.
+/// Returns whether this entry's table is behind a peer's, by the peer's digest.
 pub fn is_behind(shared: &Shared, digest: Digest) -> bool {
     digest > lock(&shared.table).digest()
 }
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -1,4 +1,12 @@
-//! What customers received, here and fleet-wide.
+//! Exchange of customers' usage between entries, for fair shares across the fleet.
+//!
+//! Once a period, each entry sends the units that its customers asked for up a tree of entries.
+//! The leaders of the halls add up their halls' usage, exchange the sums, and send the fleet-wide
+//! total back down. [`AdmissionControl`] compares the total with the customers' weights and
+//! rejects requests of customers over their fair share while the servers are full. The period
+//! grows with the size of the messages, to limit the bandwidth of the exchange.
+//!
+//! The module also keeps track of when to renew subscriptions to the reports of agents.
 
 use super::{Shared, lock, view::QueueStats};
 use crate::objects::InstanceRole;
@@ -13,28 +21,28 @@
 use std::{collections::HashMap, net::SocketAddr, slice, sync::Arc, time::Duration};
 use tokio::time;
 
-/// Time between exchanges in a small fleet, and in any.
+/// Bounds of the time between exchanges.
 const PERIOD_MIN: Duration = Duration::from_secs(1);
 const PERIOD_MAX: Duration = Duration::from_secs(12);
-/// Bytes a second that the exchange may take at a hall's leader.
+/// Bytes per second that the exchange may use at a hall's leader.
 const BANDWIDTH: f64 = 1_500.0;
-/// Bytes of a datagram beyond its packet: headers, envelope and hash.
+/// Bytes of a datagram besides its packet: headers, envelope and hash.
 const DATAGRAM_OVERHEAD: usize = 28 + 30 + 16;
-/// Part by which servers' interval may grow before they are asked anew.
+/// Factor by which the report interval may grow before subscriptions are renewed early.
 const INTERVAL_DRIFT: f64 = 1.3;
-/// Weight of the newest reading in a smoothed rate.
+/// Weight of the latest period in a smoothed rate.
 const RATE_SMOOTH: f64 = 0.3;
-/// Units a second below which a customer is forgotten.
+/// Units per second below which a customer's rate is dropped.
 const RATE_MIN: f64 = 0.5;
 
-/// Weights of customers in the table.
+/// Weights of the customers in the table.
 type Weights = HashMap<CustomerTag, f64>;
-/// Time between two subscriptions to the same server, in report intervals.
+/// Time between subscriptions to the same agent, in report intervals, and its minimum.
 const RENEW_INTERVALS: u32 = 3;
 const RENEW_MIN: Duration = Duration::from_secs(4);
 
-/// How often to exchange, so that it stays within its budget. A hall's leader
-/// decides for the hall.
+/// Adjusts the period of the exchange to its bandwidth limit. The leader of a hall adjusts the
+/// period for the hall.
 #[derive(Clone, Copy, Debug)]
 struct PeriodControl {
     period: Duration,
@@ -54,6 +62,7 @@
             times * (wire::encoded_len(&Packet::Usage(usage.clone())) + DATAGRAM_OVERHEAD);
     }
 
+    /// Sets the period in which the bytes counted fit the bandwidth limit.
     fn adjust(&mut self) {
         let needed = Duration::from_secs_f64(self.bytes as f64 / BANDWIDTH);
         self.period = needed.clamp(PERIOD_MIN, PERIOD_MAX);
@@ -61,26 +70,27 @@
     }
 }
 
-/// The entry's part in the exchange.
+/// State of the exchange at this entry.
 #[derive(Debug, Default)]
 pub struct UsageExchange {
-    /// Units that customers asked for here in the present period.
+    /// Units that customers asked for here in the current period.
     offered: HashMap<CustomerTag, u64>,
-    /// Units a second that they ask for here.
+    /// Units per second that customers ask for here, smoothed.
     own_rates: HashMap<CustomerTag, f64>,
-    /// On its way up: from here and from children.
+    /// Usage of this entry and its children in the tree, to be sent to the parent.
     pending: PendingUsage,
-    /// What other halls' leaders sent.
+    /// Usage received from the leaders of other halls.
     remote: PendingUsage,
     admission: AdmissionControl,
     estimator: CostEstimator<String>,
-    /// When servers were last asked for reports, and how often.
+    /// Time of the last subscription to each agent, and the report interval requested.
     subscriptions: HashMap<SocketAddr, (Uptime, Duration)>,
     period_control: PeriodControl,
 }
 
 impl UsageExchange {
-    /// A customer asks for units. Whether that is within its share.
+    /// Records a request of `units`. Returns whether to admit it by the customer's fair share;
+    /// `draw` is a random number in 0..1.
     pub fn admit(&mut self, customer: &str, weight: f64, units: u32, draw: f64) -> bool {
         let tag = CustomerTag::of(customer);
         *self.offered.entry(tag).or_default() += u64::from(units);
@@ -88,8 +98,8 @@
         self.admission.admit(tag, weight, f64::from(units), draw)
     }
 
-    /// A customer received service for a request for which `named` units were
-    /// named.
+    /// Records that a request which was submitted with a cost of `requested` units has cost
+    /// `units`.
     pub fn record_cost(&mut self, customer: &str, requested: u32, units: u32) {
         self.pending.add_delivered(u64::from(units));
         if units > 0 {
@@ -97,12 +107,12 @@
         }
     }
 
-    /// Units to expect of a request for which `named` units were named.
+    /// Estimates the cost of a request that is submitted with a cost of `requested` units.
     pub fn estimate(&self, customer: &str, requested: u32) -> u32 {
         self.estimator.estimate(customer, requested)
     }
 
-    /// A customer's rate here and fleet-wide, in units a second.
+    /// Returns a customer's rate here and fleet-wide, in units per second.
     pub fn rates(&self, customer: &str) -> (u64, u64) {
         let tag = CustomerTag::of(customer);
         let own = self.own_rates.get(&tag).copied().unwrap_or(0.0);
@@ -110,12 +120,12 @@
         (own as u64, fleet.max(own) as u64)
     }
 
-    /// The part of a customer's requests that is let in.
+    /// Returns the fraction of a customer's requests that is admitted, in 0..=1.
     pub fn admit_ratio(&self, customer: &str, weight: f64) -> f64 {
         self.admission.admit_ratio(CustomerTag::of(customer), weight)
     }
 
-    /// Servers whose subscription is due.
+    /// Returns the agents whose subscription is to be renewed, and records the renewal.
     pub fn due_subscriptions(
         &mut self,
         addrs: &[SocketAddr],
@@ -126,7 +136,7 @@
         self.subscriptions.retain(|addr, _| addrs.contains(addr));
         let mut due = Vec::new();
         for addr in addrs {
-            // What was asked for in a smaller fleet is too often by now.
+            // An interval requested while the fleet was smaller may be too short now.
             let is_current = |(at, requested): &(Uptime, Duration)| {
                 now.since(*at) < lifetime && period < requested.mul_f64(INTERVAL_DRIFT)
             };
@@ -138,7 +148,7 @@
         due
     }
 
-    /// Closes a period of so many seconds.
+    /// Ends a period: updates the rates and the state of the queues.
     fn close_period(&mut self, seconds: f64, queues: &QueueStats) {
         self.admission.observe(queues.wait_s, queues.queue_slots);
         for (customer, rate) in &mut self.own_rates {
@@ -150,7 +160,7 @@
         self.own_rates.retain(|_, rate| *rate > RATE_MIN);
     }
 
-    /// The fleet-wide sum of a period has come.
+    /// Applies the fleet-wide total of a period.
     fn apply_total(&mut self, now: Uptime, usage: &Usage, weights: &Weights) {
         self.period_control.period = Duration::from_millis(u64::from(usage.period_ms));
         let offered = |row: &UsageRow| {
@@ -164,7 +174,7 @@
     }
 }
 
-/// Exchanges usage, period by period.
+/// Sends usage to the parent in the tree, or shares the total, once a period.
 pub async fn run_exchange(shared: Arc<Shared>) {
     let mut closed = shared.context.clock.now();
     loop {
@@ -185,7 +195,7 @@
     }
 }
 
-/// Takes another entry's rows in. A total is passed on down the tree.
+/// Processes usage received from another entry. A total is forwarded down the tree.
 pub fn receive(shared: &Arc<Shared>, from: &str, usage: Usage) {
     lock(&shared.usage).period_control.add_bytes(&usage, 1);
     if usage.total {
@@ -204,8 +214,8 @@
     pending.merge(&usage);
 }
 
-/// A hall's leader: its hall's rows go to the other leaders, and the sum with
-/// theirs goes down.
+/// Sends the usage of the hall to the leaders of other halls, and the total, including what they
+/// sent, down the tree. Only leaders call this.
 async fn share_total(shared: &Arc<Shared>, tree: &UsageTree, usage: &Usage, weights: &Weights) {
     send_all(shared, &tree.peers, usage).await;
     let total = {
@@ -223,6 +233,7 @@
     send_all(shared, &tree.children, &total).await;
 }
 
+/// Returns a customer's weight, or 1 if the customer is not in the table.
 fn weight(weights: &Weights, customer: CustomerTag) -> f64 {
     weights.get(&customer).copied().unwrap_or(1.0)
 }
@@ -232,6 +243,7 @@
     rows.customers.iter().map(|(name, row)| (CustomerTag::of(name), row.weight)).collect()
 }
 
+/// Returns this entry's position in the tree of live entries.
 fn tree(shared: &Shared) -> UsageTree {
     let view = lock(&shared.view);
     let members = lock(&shared.members);
--- a/src/mastweir/entry/view.rs
+++ b/src/mastweir/entry/view.rs
@@ -1,4 +1,7 @@
-//! What this entry knows of instances and servers.
+//! The entry's view of the fleet: the instance list, and a router for each service.
+//!
+//! The instance list is watched at the platform, and agents report the load of their servers.
+//! [`FleetView`] keeps the routers in line with both and chooses servers for requests.
 
 use crate::objects::{InstanceRole, InstanceSpec, InstanceState};
 use mastweir_core::{
@@ -16,46 +19,45 @@
     time::Duration,
 };
 
-/// Bindings of an operation that may not be repeated.
+/// Maximum bindings of an at-most-once operation.
 const BINDINGS_MAX: usize = 3;
 
-/// Units of a request, while none waits.
+/// Assumed units of a request while no request is queued.
 const DEFAULT_COST: f64 = 100.0;
 
-/// What waits at a server.
+/// Average state of the servers' queues.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueStats {
-    /// Seconds of work.
+    /// Seconds of queued work.
     pub wait_s: f64,
-    /// Requests that its queue has room for.
+    /// Capacity of a server's queue in requests.
     pub queue_slots: f64,
 }
 
-/// A chosen server.
+/// A server chosen for a request.
 #[derive(Clone, Debug)]
 pub struct ChosenServer {
-    /// The agent's life.
+    /// The agent's incarnation.
     pub fence: Fence,
-    /// The decision, for the log line.
     pub choice: Choice,
-    /// Names of the candidates in the decision, in order.
+    /// Names of the candidates of `choice`, in the same order.
     pub names: Vec<String>,
 }
 
-/// Instances, and a router for each service.
+/// See the [module](self).
 #[derive(Debug)]
 pub struct FleetView {
     hall: String,
     instances: BTreeMap<String, InstanceSpec>,
     routers: HashMap<String, Router>,
     drained: HashSet<String>,
-    /// Entries in the list, counted once a change and not once a request.
+    /// Entries in the instance list; counted when the list changes, as each request needs it.
     entry_count: u32,
     has_list: bool,
 }
 
 impl FleetView {
-    /// Nothing is known yet.
+    /// Creates a view without instances for an entry in `hall`.
     pub fn new(hall: &str) -> Self {
         Self {
             hall: hall.to_owned(),
@@ -67,40 +69,38 @@
         }
     }
 
-    /// Whether the instance list was seen.
+    /// Returns whether the instance list has been read.
     pub const fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// An instance.
     pub fn instance(&self, name: &str) -> Option<&InstanceSpec> {
         self.instances.get(name)
     }
 
-    /// All instances of a role.
     pub fn with_role(&self, role: InstanceRole) -> impl Iterator<Item = (&str, &InstanceSpec)> {
         let all = self.instances.iter().filter(move |(_, spec)| spec.role == role);
         all.map(|(name, spec)| (name.as_str(), spec))
     }
 
-    /// Number of entries in the list.
+    /// Returns the number of entries in the instance list.
     pub const fn entry_count(&self) -> u32 {
         self.entry_count
     }
 
-    /// The routers by service.
+    /// Returns the routers with the names of their services.
     pub fn routers(&self) -> impl Iterator<Item = (&str, &Router)> {
         self.routers.iter().map(|(service, router)| (service.as_str(), router))
     }
 
-    /// The whole instance list.
+    /// Replaces the instance list.
     pub fn set_instances(&mut self, instances: BTreeMap<String, InstanceSpec>) {
         self.instances = instances;
         self.has_list = true;
         self.rebuild();
     }
 
-    /// One change of the instance list.
+    /// Adds, changes or (`None`) removes an instance.
     pub fn update_instance(&mut self, name: &str, spec: Option<InstanceSpec>) {
         match spec {
             Some(spec) => self.instances.insert(name.to_owned(), spec),
@@ -109,18 +109,18 @@
         self.rebuild();
     }
 
-    /// Reports are asked for this often from now on.
+    /// Sets the interval at which agents are asked to report.
     pub fn set_report_interval(&mut self, interval: Duration) {
         self.routers.values_mut().for_each(|router| router.set_report_interval(interval));
     }
 
-    /// Servers that operators have drained.
+    /// Replaces the set of servers that operators have drained.
     pub fn set_drained(&mut self, drained: HashSet<String>) {
         self.drained = drained;
         self.rebuild();
     }
 
-    /// What waits at a server, on average over all that are heard of.
+    /// Returns averages over all servers with a current report.
     pub fn queue_stats(&self, now: Uptime) -> QueueStats {
         let loads: Vec<&Load> = self.routers.values().flat_map(|r| r.loads(now)).collect();
         let count = loads.len().max(1) as f64;
@@ -134,8 +134,8 @@
         QueueStats { wait_s: waits.sum::<f64>() / count, queue_slots }
     }
 
-    /// What the servers of a rank group last said of their ranks' lives. It
-    /// changes when a rank was replaced.
+    /// Returns what each server of a group last reported of its ranks' incarnations. The value
+    /// changes when a rank of the server is replaced.
     pub fn rank_incarnations(&self, group: &str) -> BTreeMap<String, u64> {
         let is_member = |name: &str| {
             let part = self.instances.get(name).and_then(|spec| spec.group.as_ref());
@@ -150,7 +150,7 @@
             .collect()
     }
 
-    /// An agent's report.
+    /// Records an agent's load report.
     pub fn record_report(&mut self, server: &str, load: &Load, now: Uptime) {
         for router in self.routers.values_mut() {
             if let Some(index) = router.index_of(server) {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Chooses a server for a request.
+    /// Chooses a server for a request; `None` if no server is available.
     pub fn choose(
         &self,
         service: &str,
@@ -178,8 +178,8 @@
         Some(ChosenServer { fence, names: names.collect(), choice })
     }
 
-    /// Chooses places for an operation that may not be repeated, void after
-    /// `term`.
+    /// Chooses the agents for an at-most-once operation, with bindings that expire after
+    /// `lifetime`. Also returns the first routing decision.
     pub fn choose_bindings(
         &self,
         service: &str,
@@ -204,14 +204,14 @@
         (bindings, first)
     }
 
-    /// A request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn record_sent(&mut self, service: &str, server: &str, cost: u32, now: Uptime) {
         if let Some((router, index)) = self.router_index(service, server) {
             router.on_sent(index, cost, now);
         }
     }
 
-    /// A request at a server has ended. True if that ejects the server.
+    /// Records the end of a request at a server. Returns whether this ejects the server.
     pub fn record_ended(
         &mut self,
         service: &str,
@@ -223,14 +223,15 @@
         index.is_some_and(|(router, index)| router.on_ended(index, signal, now))
     }
 
-    /// Addresses of the servers that are routed to, each once.
+    /// Returns the distinct datagram addresses of all servers in the routers.
     pub fn routed_addrs(&self) -> Vec<SocketAddr> {
         let servers = self.routers.values().flat_map(|router| router.servers());
         let names: HashSet<&str> = servers.map(|server| server.name.as_str()).collect();
         names.into_iter().filter_map(|name| Some(self.instances.get(name)?.udp)).collect()
     }
 
-    /// That agent's clock in `term`, as far as is known.
+    /// Returns the time on the agent's clock after `lifetime`, by its last report. `None` if the
+    /// agent has not reported.
     fn expiry(
         &self,
         service: &str,
@@ -250,7 +251,8 @@
         Some((router, index))
     }
 
-    /// Brings the routers in line with the instances; what is known stays.
+    /// Brings the routers in line with the instance list, and keeps the state of servers that
+    /// are still listed.
     fn rebuild(&mut self) {
         let entries = self.with_role(InstanceRole::Entry).count();
         self.entry_count = u32::try_from(entries).unwrap_or(u32::MAX);
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn version_is_waited_for_and_decisions_are_explained() -> eyre::Result<()> {
+async fn wait_and_explain_commands_query_the_entry() -> eyre::Result<()> {
     let mut fleet = Fleet::new(5).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
--- a/tests/testsuite/processes.rs
+++ b/tests/testsuite/processes.rs
@@ -1,4 +1,4 @@
-//! Real daemons as processes, behind the fault-injecting proxy.
+//! Entries and agents as separate processes, connected through a proxy that injects faults.
 
 use googletest::prelude::*;
 use mastweir_test_support::{
@@ -10,7 +10,7 @@
 use std::{path::PathBuf, sync::atomic::Ordering, time::Duration};
 use tokio::time;
 
-async fn bring_up() -> eyre::Result<Processes> {
+async fn start_fleet() -> eyre::Result<Processes> {
     let mut fleet = Processes::new(PathBuf::from(env!("CARGO_BIN_EXE_mastweird"))).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
@@ -39,7 +39,7 @@
     Ok(answer["outcome"].as_str().unwrap_or("done").to_owned())
 }
 
-/// Waits until a request has reached a server, however busy the machine is.
+/// Waits until a request has reached a server, up to 5 s.
 async fn wait_for_run(fleet: &Processes, marker: &str) -> eyre::Result<()> {
     for _ in 0..1_000 {
         if fleet.runs.of(marker) > 0 {
@@ -47,12 +47,12 @@
         }
         time::sleep(Duration::from_millis(5)).await;
     }
-    Err(eyre::eyre!("{marker} does not reach a server"))
+    Err(eyre::eyre!("request {marker} reached no server within 5 s"))
 }
 
 #[tokio::test]
-async fn connection_lost_after_the_order_left_is_joined_and_not_run_twice() -> eyre::Result<()> {
-    let fleet = bring_up().await?;
+async fn retry_after_lost_connection_joins_the_running_operation() -> eyre::Result<()> {
+    let fleet = start_fleet().await?;
     let ticket = ticket(&fleet).await?;
     for server in &fleet.servers {
         server.engine.plain_us.store(800_000, Ordering::Relaxed);
@@ -77,8 +77,8 @@
 }
 
 #[tokio::test]
-async fn agent_killed_in_mid_call_is_unknown_and_never_run_again() -> eyre::Result<()> {
-    let mut fleet = bring_up().await?;
+async fn operation_of_a_killed_agent_is_unknown_and_not_run_again() -> eyre::Result<()> {
+    let mut fleet = start_fleet().await?;
     let ticket = ticket(&fleet).await?;
     for server in &fleet.servers {
         server.engine.plain_us.store(1_500_000, Ordering::Relaxed);
@@ -100,8 +100,8 @@
 }
 
 #[tokio::test]
-async fn paused_entry_that_wakes_runs_nothing_again() -> eyre::Result<()> {
-    let fleet = bring_up().await?;
+async fn suspended_entry_does_not_repeat_an_operation_after_resuming() -> eyre::Result<()> {
+    let fleet = start_fleet().await?;
     let ticket = ticket(&fleet).await?;
     let urls = fleet.urls();
     for server in &fleet.servers {
@@ -121,8 +121,8 @@
 }
 
 #[tokio::test]
-async fn planned_stop_of_an_entry_cuts_no_stream_and_exits_well() -> eyre::Result<()> {
-    let mut fleet = bring_up().await?;
+async fn graceful_stop_of_an_entry_completes_streams_and_exits_with_0() -> eyre::Result<()> {
+    let mut fleet = start_fleet().await?;
     let body = json!({
         "model": "assistant", "prompt": "x", "user": "s", "max_tokens": 120, "stream": true,
     });
@@ -137,14 +137,14 @@
         }
         time::sleep(Duration::from_millis(20)).await;
     }
-    Err(eyre::eyre!("the entry does not end"))
+    Err(eyre::eyre!("the entry did not exit within 10 s"))
 }
 
-/// Found by the table measure: a status took the members' lock before the
-/// view's, the exchange the other way round, and the entry stood still.
+/// Guards against a deadlock between status requests and the exchange of usage, which both lock
+/// the membership list and the fleet view.
 #[tokio::test]
-async fn status_does_not_stop_an_entry() -> eyre::Result<()> {
-    let fleet = bring_up().await?;
+async fn status_requests_do_not_deadlock_an_entry() -> eyre::Result<()> {
+    let fleet = start_fleet().await?;
     let url = format!("{}/-/status", fleet.urls()[0]);
     let client = Client::builder().timeout(Duration::from_secs(10)).build()?;
     let polls: Vec<_> = (0..8)
