--- a/src/mastweir/gateway/generations.rs
+++ b/src/mastweir/gateway/generations.rs
@@ -1,15 +1,15 @@
-//! The line of a store that came back from an older copy.
+//! Logs when the store was restored from an older copy. Used by gateways and sidecars.
 
 use crate::platform::store::Store;
 use slog::{Logger, info, warn};
 
-/// Says each time that the store came back from an older copy, and calls `changed`, for ever.
+/// Logs each change of the store's generation and calls `on_change`. Does not return.
 pub async fn watch(store: Store, log: Logger, on_change: impl Fn()) {
     loop {
         let before = store.generation();
         store.later_generation(before).await;
         let now = store.generation();
-        // Nothing was known before the first answer that names one.
+        // Zero until the store's first answer.
         if before == 0 {
             info!(log, "store era known"; "now" => now);
         } else {
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -1,9 +1,10 @@
-//! Datagrams between gateways and sidecars, and what they fetch from each other.
+//! Messages between gateways and sidecars: datagrams, and the bodies of internal calls. All
+//! are encoded with postcard, so the order of fields and variants is the wire format.
 //!
-//! All datagrams are soft state: each is sent again soon, and none has to arrive. What
-//! grows with the fleet goes through a few speakers a hall, and what grows with a group
-//! through a few heads of its sections, so that no process sends or hears in proportion
-//! to either (docs/design/large.md).
+//! Datagrams carry soft state: each is repeated soon, and a lost one does no harm. Traffic
+//! that grows with the fleet goes through a few relay gateways a hall, and traffic that grows
+//! with a rank group through the aggregators of its subtrees, so that no process sends or
+//! receives in proportion to either.
 
 use mastweir_core::{
     gateway::{LimitUpdate, LoadReport, Model, PeerInfo, SuspectReport},
@@ -17,318 +18,286 @@
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
-/// Largest datagram that is sent: below the usual path limit.
+/// Largest datagram sent, in bytes: below the usual path MTU.
 pub const DATAGRAM_MAX: usize = 1_400;
-/// Counts in one datagram: they take one to three bytes each, beside a rank's state.
+/// One to three bytes each, next to the status of a rank.
 pub const COUNTS_PER_DATAGRAM: usize = 400;
-/// Servers' loads in one datagram: some 33 bytes each, 43 with the largest limit.
+/// At most 43 bytes each.
 pub const LOADS_PER_DATAGRAM: usize = 31;
-/// Limits in one datagram: some 30 bytes each, beside long names of servers.
+/// Some 30 bytes each, next to long server ids.
 pub const LIMITS_PER_DATAGRAM: usize = 24;
-/// Requests that servers ended under in one datagram: some 80 bytes each at most.
+/// At most some 80 bytes each.
 pub const SUSPECTS_PER_DATAGRAM: usize = 16;
-/// Ranks' states in one datagram: some 50 bytes each.
+/// Some 50 bytes each.
 pub const RANKS_PER_DATAGRAM: usize = 20;
 
-/// What processes tell each other.
+/// A datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A gateway to gateways.
+    /// From a gateway to gateways.
     Hello(Hello),
-    /// A speaker to sidecars.
+    /// From a relay gateway to sidecars.
     RelayHello(RelayHello),
-    /// A sidecar to its hall's speakers.
+    /// From a sidecar to its hall's relays.
     Report(ServerReport),
-    /// A speaker to gateways.
+    /// From a relay to gateways.
     Loads(Loads),
-    /// A coordinator to the heads of its group, and they to their sections.
+    /// From a coordinator to the aggregators of its group, and from them to their subtrees.
     Poll(Poll),
-    /// A sidecar to the head of its section, or to its coordinator.
+    /// From a sidecar to the aggregator of its subtree, or to its coordinator.
     Rank(RankReport),
-    /// A head to its coordinator.
+    /// From an aggregator to its coordinator.
     Subtree(SubtreeReport),
-    /// A coordinator to its hall's speakers, and they to gateways.
+    /// From a coordinator to its hall's relays, and from them to gateways.
     Forecast(PassForecast),
-    /// A gateway to its hall's speakers, and they to gateways: requests under which servers
-    /// ended.
+    /// From a gateway to its hall's relays, and from them to gateways.
     Suspects(Vec<SuspectReport>),
-    /// A gateway to its hall's speakers, and they to gateways: what servers name as limits.
+    /// From a gateway to its hall's relays, and from them to gateways.
     Limits(Vec<LimitUpdate>),
-    /// A gateway to one that lends.
+    /// From a gateway to a permit issuer.
     RequestPermits(RequestPermits),
-    /// Its answer.
+    /// Answer of a permit issuer.
     GrantPermits(GrantPermits),
 }
 
-/// A gateway wants to send requests to servers that name limits.
+/// Asks for permits to send requests to servers that name a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestPermits {
-    /// Tells its answer from others, also those to the process before.
+    /// Identifies the answer, also among those to a previous process of the gateway.
     pub number: u64,
-    /// Servers, and how many tokens are wanted.
+    /// Ids of servers, and the number of permits wanted for each.
     pub wanted: Vec<(String, u32)>,
 }
 
-/// What is lent.
+/// Answer to [`RequestPermits`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantPermits {
-    /// Number of the message that asked for it.
+    /// Number of the request.
     pub number: u64,
-    /// By server.
     pub grants: Vec<ServerGrant>,
 }
 
-/// What is lent for a server.
+/// Permits granted for one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerGrant {
-    /// The server.
     pub server: String,
-    /// Tokens.
+    /// Number of permits granted.
     pub count: u32,
-    /// Where there are none: milliseconds until one may be lent.
+    /// When `count` is zero: milliseconds until a permit may be available.
     pub wait_ms: u32,
 }
 
-/// A gateway is here, and has got so far.
+/// Announces a gateway, and how recent its configuration and server list are.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its hall.
     pub hall: String,
-    /// How much its instance can carry.
+    /// Capacity of its instance, relative to the others.
     pub power: u32,
-    /// Version of its configuration.
+    /// Version of its configuration; zero if it has none.
     pub config: u64,
     /// Revision of its list of servers.
     pub directory: Revision,
-    /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether it knows no speaker yet, and wants to be told of some.
+    /// Whether it knows no other live gateway of its hall, and wants a hello in reply.
     pub wants_reply: bool,
-    /// Whether it wants what speakers tell their hall.
+    /// Whether relays forward updates to it.
     pub is_follower: bool,
-    /// Gateways of its hall that it hears, itself included.
+    /// Number of live gateways in its hall that it knows, itself included.
     pub hall_size: u32,
-    /// Most gateways that it knew of at once.
+    /// Largest number of gateways that it knew at a time.
     pub fleet_size: u32,
-    /// The first gateways of each hall, as far as it hears them.
+    /// The first gateways of each hall, as far as it knows them.
     pub known_peers: Vec<PeerInfo>,
 }
 
-/// A speaker is here: a sidecar reports to it.
+/// Announces a relay gateway, to which the sidecar is to send its reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayHello {
-    /// The server's engine.
+    /// Engine settings of the server's service.
     pub model: Option<Model>,
-    /// The coordinator of its group, if one was heard of.
+    /// The coordinator of the server's group, if known.
     pub coordinator: Option<CoordinatorSeen>,
 }
 
-/// A group's coordinator, as it was heard of.
+/// When a coordinator of a group was last heard from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorSeen {
-    /// Its group.
     pub group: String,
-    /// Its token.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// Number of its last poll that was heard of. Only a higher one is news: were it the
-    /// age alone, each that tells it on would add the time on the way, and a dead
-    /// coordinator was heard of for two seconds more.
+    /// Number of its last known poll. Receivers compare this rather than the age: each hop adds
+    /// its delay to the age, which would keep a dead coordinator alive for longer.
     pub round: u64,
-    /// Where it is.
     pub ip: IpAddr,
-    /// Milliseconds since that poll was heard of.
+    /// Milliseconds since that poll.
     pub age_ms: u32,
 }
 
-/// A server's load.
+/// A sidecar's report on its server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// Where the server listens.
     pub server: SocketAddr,
-    /// What its sidecar saw.
     pub load: LoadReport,
-    /// The coordinator that it heard last.
+    /// The coordinator that the sidecar heard from last.
     pub coordinator: Option<CoordinatorSeen>,
 }
 
-/// Loads of many servers, each with its age.
+/// Loads of many servers, forwarded by a relay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Loads {
-    /// Names of groups; the loads give the place in this list.
+    /// Names of groups; [`ServerLoad::group`] is an index into them.
     pub groups: Vec<String>,
-    /// The loads.
     pub loads: Vec<ServerLoad>,
-    /// Coordinators of groups.
     pub coordinators: Vec<CoordinatorSeen>,
 }
 
-/// A server's load, as a speaker tells it on.
+/// A forwarded report on a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerLoad {
     /// Where the server listens.
     pub server: SocketAddr,
-    /// Milliseconds since its sidecar told it.
+    /// Milliseconds since the sidecar sent it.
     pub age_ms: u32,
-    /// Place of its group's name in the list, if it has one.
+    /// Index of the server's group in [`Loads::groups`].
     pub group: Option<u8>,
-    /// What its sidecar saw, without the group's name.
+    /// The sidecar's report; its `group` is left out.
     pub load: LoadReport,
 }
 
-/// How long a group's passes are expected to be: sooner known than seen.
+/// Expected duration of a group's passes, sent before it can be measured.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PassForecast {
-    /// The group.
     pub group: String,
-    /// Which of its coordinators' words this is: token, and number of the word, which
-    /// rises. Only news is told on: speakers that follow each other, as those that are
-    /// leaving do, would tell it in a circle for ever.
+    /// Fencing token of the coordinator, and number of its forecast. Relays forward only higher
+    /// ones: relays that follow each other would forward a forecast in a loop.
     pub sequence: (u64, u64),
-    /// Milliseconds.
     pub pass_ms: u32,
 }
 
-/// A coordinator asks for the states of its ranks, and what their requests chose.
+/// A coordinator's request for the states of its ranks and their expert selections.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Poll {
-    /// Its group.
     pub group: String,
-    /// Its token.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// Where it is.
+    /// Address of the coordinator.
     pub coordinator: IpAddr,
     /// Number of the poll; rises.
     pub round: u64,
-    /// The poll since which it wants to know what was chosen.
+    /// Number of the poll since which selections are to be counted.
     pub since: u64,
-    /// First of the sets that it asks for, and how many; wraps at the last.
+    /// First of the requested expert sets, and their number; wraps around after the last.
     pub sets: Option<(u16, u16)>,
-    /// Sidecars to whom the receiver passes it on, and for whom it answers.
+    /// Sidecars to which the receiver forwards the poll, and whose answers it collects.
     pub subtree: Vec<IpAddr>,
 }
 
-/// A rank, as its sidecar sees it.
+/// A rank's status, as its sidecar read it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankStatus {
     /// Where its server listens.
     pub server: SocketAddr,
-    /// Its state.
     pub state: RankState,
-    /// Requests that run and wait there.
+    /// Requests that run or wait there.
     pub load: u32,
-    /// Time that it takes for the same work over what is usual, in thousandths.
+    /// Time per work over the usual, in thousandths.
     pub slowdown_milli: u32,
-    /// Life of the server; zero if that does not say.
+    /// Incarnation of the server; zero if the server does not state it.
     pub incarnation: u64,
-    /// When it was read, on the sidecar's clock: datagrams overtake each other.
+    /// When the status was read, on the sidecar's clock, since datagrams may be reordered.
     pub read_at: Uptime,
 }
 
-/// A sidecar's answer to a poll, or, with round 0, a word to a coordinator that does not
-/// poll it.
+/// A sidecar's answer to a poll, or, with `round` 0, an unsolicited report to a coordinator
+/// that does not poll it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankReport {
-    /// Its group.
     pub group: String,
     /// Number of the poll.
     pub round: u64,
-    /// Its rank; in the first of the datagrams that answer one poll.
+    /// Status of the rank; only in the first of the datagrams that answer a poll.
     pub rank: Option<RankStatus>,
-    /// What was chosen.
     pub counts: Counts,
 }
 
-/// What requests chose, by set and expert, one set behind the other; a part of it where
-/// it does not fit into one datagram.
+/// Expert selections, ordered by set and then by expert; a part of them where they do not fit
+/// into one datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Place of the first of these among all that were asked for.
+    /// Index of the first of these counts among all that were requested.
     pub offset: u32,
-    /// The counts.
     pub counts: Vec<u32>,
-    /// Whether no other part follows.
+    /// Whether this is the last part.
     pub is_last: bool,
 }
 
-/// A head's answer to a poll: the ranks that answered it, and the sum of their counts.
+/// An aggregator's answer to a poll: the ranks that answered, and the sums of their counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubtreeReport {
-    /// Its group.
     pub group: String,
     /// Number of the poll.
     pub round: u64,
-    /// The ranks, in parts where they do not fit into one datagram.
+    /// Ranks that answered; in several reports where they do not fit into one datagram.
     pub ranks: Vec<RankStatus>,
-    /// The sums.
     pub counts: Counts,
 }
 
 /// The servers of a group, fetched from a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// Where they listen, and in which hall.
+    /// Where they listen, and their halls.
     pub servers: Vec<(SocketAddr, String)>,
-    /// Its coordinator, if one was heard of.
     pub coordinator: Option<CoordinatorSeen>,
 }
 
-/// What a rank is to do; what a load brings stands beside the orders.
+/// What a rank is to do. The map of a load is sent once a batch, in [`OrderBatch::map`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BatchOrderKind {
-    /// Load the map.
+    /// Load the batch's map.
     Load,
     /// Use a loaded map from a pass on.
-    Schedule {
-        /// Its version.
-        version: u64,
-        /// The pass.
-        pass: u64,
-    },
-    /// Don't, after all.
-    Cancel {
-        /// The version.
-        version: u64,
-    },
+    Schedule { version: u64, pass: u64 },
+    /// Withdraw a scheduled map.
+    Cancel { version: u64 },
 }
 
-/// An order on its way to a server.
+/// An order to one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchOrder {
     /// Where the server listens.
     pub server: SocketAddr,
-    /// Token of the coordinator.
+    /// Fencing token of the coordinator.
     pub token: u64,
-    /// Orders that the rank had taken.
+    /// Number of orders that the rank had taken.
     pub order_seq: u64,
-    /// Life of the group.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// What to do.
     pub kind: BatchOrderKind,
 }
 
-/// Orders for a section, passed on by its head.
+/// Orders for a subtree, forwarded by its aggregator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderBatch {
-    /// The map that is to be loaded, if one is.
+    /// The map that load orders refer to.
     pub map: Option<MapDelta>,
-    /// The orders.
     pub orders: Vec<BatchOrder>,
 }
 
-/// What a sidecar answers to an order.
+/// A sidecar's answer to an order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// What the rank made of it; none if it gave no answer.
+    /// `None` if the rank did not answer.
     pub outcome: Option<OrderOutcome>,
-    /// Its state after it.
+    /// State of the rank after the order.
     pub state: Option<RankState>,
-    /// When that was read, on the sidecar's clock.
+    /// When that state was read, on the sidecar's clock.
     pub read_at: Uptime,
-    /// Whether its sidecar needs all of the map.
+    /// Whether the sidecar lacks the base of the map and needs the full one.
     pub needs_map: bool,
-    /// Times that it was given without an answer.
+    /// Number of times the order was sent without an answer.
     pub unanswered: u32,
 }
 
-/// What became of a batch, by server.
+/// Answers to a batch, by server.
 pub type BatchReplies = Vec<(SocketAddr, OrderReply)>;
--- a/src/mastweir/gateway/permit_state.rs
+++ b/src/mastweir/gateway/permit_state.rs
@@ -1,22 +1,21 @@
-//! What a gateway keeps for borrowing tokens and lending them.
+//! What a gateway keeps for requesting and granting permits for servers that name a rate limit.
 
 use mastweir_core::gateway::{PermitIssuer, PermitRequester};
 use std::{cell::RefCell, net::IpAddr};
 use tokio::sync::Notify;
 
-/// What a gateway borrows and lends.
 #[derive(Debug)]
 pub struct PermitState {
-    /// Decides whom to ask.
+    /// Requests permits from issuers.
     pub requester: RefCell<PermitRequester>,
-    /// Decides what to lend.
+    /// Grants permits for the servers that this gateway is responsible for.
     pub issuer: RefCell<PermitIssuer>,
-    /// Requests came that want tokens.
+    /// Notified when a request needs permits.
     pub demand_added: Notify,
 }
 
 impl PermitState {
-    /// Of a gateway that has just started. `first` is drawn.
+    /// Creates the state of a gateway that has just started. `first` is random.
     pub fn new(own: IpAddr, first: u64) -> Self {
         Self {
             requester: RefCell::new(PermitRequester::new(own, first)),
--- a/src/mastweir/gateway/permits.rs
+++ b/src/mastweir/gateway/permits.rs
@@ -1,6 +1,8 @@
-//! Borrowing tokens for servers that name a limit, and lending them: the messages. Whom a
-//! gateway asks is decided by [`PermitRequester`](mastweir_core::gateway::PermitRequester), what it lends by
-//! [`PermitIssuer`](mastweir_core::gateway::PermitIssuer).
+//! Messages by which gateways request and grant permits for servers that name a rate limit.
+//!
+//! [`PermitRequester`](mastweir_core::gateway::PermitRequester) decides which permits to request
+//! from which gateway, and [`PermitIssuer`](mastweir_core::gateway::PermitIssuer) how many to
+//! grant.
 
 use super::{
     datagrams::send,
@@ -17,10 +19,10 @@
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::{net::UdpSocket, time};
 
-/// Least time between two rounds of asking; requests that find no server wait for it.
+/// Shortest time between two rounds of requests; waiting calls retry no sooner.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A request came for a service.
+/// Records that a call needs a server of a service that may name a rate limit.
 pub fn add_demand(gateway: &Gateway, service: &str) {
     if gateway.fleet.borrow().has_limits() {
         gateway.permits.requester.borrow_mut().add_demand(service);
@@ -28,25 +30,26 @@
     }
 }
 
-/// Chooses a server; where only limited ones could serve, waits for a token until a time.
+/// Chooses a server. Waits for a permit, at most until `until`, if only rate-limited servers
+/// suit.
 pub async fn choose_until(
     gateway: &Gateway,
     needs: Requirements<'_>,
     until: Uptime,
 ) -> Result<Candidate, Refusal> {
     loop {
-        let news = gateway.server_changes.notified();
+        let changed = gateway.server_changes.notified();
         match gateway.choose(needs) {
             Err(Refusal::Limited(wait)) if gateway.clock.now() + wait < until => {
                 add_demand(gateway, needs.service);
-                let _ = time::timeout(wait.max(REQUEST_INTERVAL), news).await;
+                let _ = time::timeout(wait.max(REQUEST_INTERVAL), changed).await;
             }
             chosen => return chosen,
         }
     }
 }
 
-/// Asks for what is wanted, for ever.
+/// Requests permits as calls need them. Does not return.
 pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     loop {
         gateway.permits.demand_added.notified().await;
@@ -57,7 +60,7 @@
 
 fn send_requests(gateway: &Gateway, socket: &UdpSocket) {
     let now = gateway.clock.now();
-    let asks = gateway.permits.requester.borrow_mut().next_requests(
+    let requests = gateway.permits.requester.borrow_mut().next_requests(
         &gateway.fleet.borrow(),
         &gateway.gateways.borrow(),
         gateway.stopping.get(),
@@ -65,80 +68,79 @@
         now,
     );
     let own = gateway.settings.borrow().ip;
-    for PermitRequest { issuer: lender, number, wanted: wants } in asks {
-        if lender == own {
-            let loans = wants.into_iter().map(|(server, count)| grant(gateway, server, count, own));
-            handle_grants(gateway, GrantPermits { number, grants: loans.collect() });
+    for PermitRequest { issuer, number, wanted } in requests {
+        if issuer == own {
+            let grants =
+                wanted.into_iter().map(|(server, count)| grant(gateway, server, count, own));
+            handle_grants(gateway, GrantPermits { number, grants: grants.collect() });
             continue;
         }
-        // What can't be encoded can't be sent; no message is of that kind.
+        // Encoding does not fail for these messages.
         if let Ok(bytes) =
-            postcard::to_stdvec(&Message::RequestPermits(RequestPermits { number, wanted: wants }))
+            postcard::to_stdvec(&Message::RequestPermits(RequestPermits { number, wanted }))
         {
-            send(gateway, socket, gateway.internal_addr(lender), &bytes);
+            send(gateway, socket, gateway.internal_addr(issuer), &bytes);
         }
     }
 }
 
-/// Takes up the servers for which this gateway lends, and leaves the others to others. One that
-/// is leaving lends nothing.
+/// Updates the servers for which this gateway issues permits; none while it is stopping.
 pub fn update_issuer(gateway: &Gateway) {
     let now = gateway.clock.now();
     let (fleet, peers) = (gateway.fleet.borrow(), gateway.gateways.borrow());
-    let lends =
+    let issues =
         |server: &Server| !gateway.stopping.get() && peers.is_issuer(&server.id, &server.hall, now);
-    let tended = fleet.limited().filter(|server| lends(server));
-    gateway.permits.issuer.borrow_mut().set_servers(tended.map(|server| server.id.as_str()), now);
+    let issued = fleet.limited().filter(|server| issues(server));
+    gateway.permits.issuer.borrow_mut().set_servers(issued.map(|server| server.id.as_str()), now);
 }
 
-/// Lends tokens for a server.
+/// Grants permits for a server to the gateway at `to`.
 fn grant(gateway: &Gateway, server: String, wanted: u32, to: IpAddr) -> ServerGrant {
     let now = gateway.clock.now();
     let fleet = gateway.fleet.borrow();
     let hall = fleet.directory().servers.get(&server).map_or("", |server| server.hall.as_str());
-    // One whose limit is not known here yet is lent for as little as possible.
+    // A server whose limit is not known yet gets the lowest rate.
     let per_s = fleet.limit(&server).map_or(0.0, |rate| rate.requests());
-    let part = gateway.gateways.borrow().limit_share(hall, now);
-    let mut lender = gateway.permits.issuer.borrow_mut();
-    let PermitGrant { count, wait } = lender.grant(&server, per_s * part, wanted, now);
+    let share = gateway.gateways.borrow().limit_share(hall, now);
+    let mut issuer = gateway.permits.issuer.borrow_mut();
+    let PermitGrant { count, wait } = issuer.grant(&server, per_s * share, wanted, now);
     if count > 0 {
         gateway.metrics.count("tokens_total", "lent");
-        info!(gateway.log, "tokens lent"; "server" => &server, "wanted" => wanted,
-            "count" => count, "per_s" => per_s, "part" => part, "to" => %to);
+        info!(gateway.log, "permits granted"; "server" => &server, "wanted" => wanted,
+            "count" => count, "per_s" => per_s, "part" => share, "to" => %to);
     } else {
         gateway.metrics.count("tokens_total", "none");
     }
     ServerGrant { server, count, wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) }
 }
 
-/// Another gateway asks.
+/// Answers another gateway's request.
 pub fn answer(gateway: &Gateway, socket: &UdpSocket, request: RequestPermits, from: IpAddr) {
-    let RequestPermits { number, wanted: wants } = request;
-    let loans =
-        wants.into_iter().map(|(server, count)| grant(gateway, server, count, from)).collect();
-    if let Ok(bytes) =
-        postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, grants: loans }))
+    let RequestPermits { number, wanted } = request;
+    let grants =
+        wanted.into_iter().map(|(server, count)| grant(gateway, server, count, from)).collect();
+    if let Ok(bytes) = postcard::to_stdvec(&Message::GrantPermits(GrantPermits { number, grants }))
     {
         send(gateway, socket, gateway.internal_addr(from), &bytes);
     }
 }
 
-/// The answer of one that was asked.
-pub fn handle_grants(gateway: &Gateway, lent: GrantPermits) {
+/// Takes in an issuer's answer.
+pub fn handle_grants(gateway: &Gateway, answer: GrantPermits) {
     let now = gateway.clock.now();
-    let asked = gateway.permits.requester.borrow_mut().accept_answer(lent.number, now);
-    match asked {
-        Some(asked) => apply_grants(gateway, lent.grants, asked),
+    let sent_at = gateway.permits.requester.borrow_mut().accept_answer(answer.number, now);
+    match sent_at {
+        Some(sent_at) => apply_grants(gateway, answer.grants, sent_at),
         None => gateway.metrics.count("tokens_total", "late"),
     }
 }
 
-fn apply_grants(gateway: &Gateway, loans: Vec<ServerGrant>, asked: Uptime) {
+fn apply_grants(gateway: &Gateway, grants: Vec<ServerGrant>, sent_at: Uptime) {
     let now = gateway.clock.now();
     let mut fleet = gateway.fleet.borrow_mut();
-    for ServerGrant { server, count, wait_ms } in loans {
+    for ServerGrant { server, count, wait_ms } in grants {
         if count > 0 {
-            fleet.add_permits(&server, count, asked + PERMIT_LIFETIME);
+            fleet.add_permits(&server, count, sent_at + PERMIT_LIFETIME);
         } else {
             fleet.deny_permits_before(&server, now + Duration::from_millis(u64::from(wait_ms)));
         }
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests that are quarantined: what begins a quarantine, and its place in the store.
+//! Starts the quarantine of requests under which servers crashed, and keeps quarantines in the
+//! store.
 //!
-//! Gateways tell each other, but all of them may lose power at once, and a request that ends
-//! servers would end two more behind each such loss. So the gateway that proves one writes it
-//! into the store, and a gateway that starts reads what lies there, or asks another gateway.
-//! Until it has, or had time for it, it does not call itself ready.
+//! Gateways exchange quarantines, but all of them may lose power at the same time. So the
+//! gateway that proves a request harmful also writes the quarantine into the store. A gateway
+//! that starts reads the quarantines from the store, or fetches them from another gateway, and
+//! is not ready before it has them or a timeout has passed.
 
 use super::{state::Gateway, unreadable::UnreadableLog};
 use crate::platform::{objects::ObjectList, quarantine::StoredQuarantine, store::StoreError};
@@ -13,33 +14,34 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{task, time};
 
-/// Who told of a request: this gateway's own looks, or the store.
+/// Source of a quarantine: this gateway's own probes of servers.
 pub const FROM_PROBES: &str = "own";
+/// Source of a quarantine: the store.
 const FROM_STORE: &str = "store";
-/// Pauses between two calls that fail, doubled each time: the store may be away for long.
+/// Pauses after failed calls to the store; doubled each time.
 const RETRY_FIRST: Duration = Duration::from_millis(500);
 const RETRY_MAX: Duration = Duration::from_secs(16);
-/// Those who watch the store read it again within this time behind its return from a copy:
-/// six of them at three halls.
+/// After the store was restored from a copy, watchers read it again at random times within
+/// this span, so that the first can write what the others then find.
 const REREAD_SPREAD: Duration = Duration::from_secs(1);
-/// Requests that are written again at most; each is a call.
+/// Most requests that are written again in one round; each takes a call.
 const REWRITES_MAX: usize = 256;
-/// Tries to write: some three minutes. Gateways that live know it all the same.
+/// Together some three minutes.
 const WRITE_ATTEMPTS: u32 = 15;
 
-/// Takes in what another gateway, or the store, tells.
+/// Merges reports of another gateway or of the store.
 pub fn merge(gateway: &Rc<Gateway>, all: &[SuspectReport], from: &str) {
     let now = gateway.clock.now();
-    for suspected in all {
-        if gateway.suspects.borrow_mut().merge(suspected, now) {
-            start(gateway, suspected.request, from);
+    for report in all {
+        if gateway.suspects.borrow_mut().merge(report, now) {
+            start(gateway, report.request, from);
         }
     }
 }
 
-/// A request is quarantined from now on, by what `from` told. Who proved it writes it into the
-/// store; where two gateways proved one end each, neither did, so those who watch the store
-/// do, too.
+/// Starts the quarantine of a request after a report from `from`. The gateway that proved the
+/// request harmful writes the quarantine into the store. If two gateways saw one crash each,
+/// neither proved it, so watchers write it too.
 pub fn start(gateway: &Rc<Gateway>, request: Fingerprint, from: &str) {
     gateway.metrics.count("requests_quarantined_total", "first");
     info!(gateway.log, "request quarantined"; "fingerprint" => %request, "from" => from);
@@ -49,14 +51,14 @@
     }
 }
 
-/// Writes a request that is quarantined into the store.
+/// Writes a quarantine into the store.
 async fn write(gateway: Rc<Gateway>, request: Fingerprint) {
     let mut pause = RETRY_FIRST;
     for _ in 0..WRITE_ATTEMPTS {
-        let suspected = gateway.suspects.borrow().report(request, gateway.clock.now());
-        let Some(suspected) = suspected else { return };
-        match gateway.store.write_quarantine(&suspected).await {
-            // Another gateway was first.
+        let report = gateway.suspects.borrow().report(request, gateway.clock.now());
+        let Some(report) = report else { return };
+        match gateway.store.write_quarantine(&report).await {
+            // Another gateway has written it.
             Ok(()) | Err(StoreError::Conflict) => return,
             Err(error) => {
                 gateway.metrics.count("store_errors_total", "quarantine");
@@ -68,14 +70,14 @@
     }
 }
 
-/// Reads what lies in the store, clears it of what has lapsed, and writes again what it has
-/// lost: once in the time that a quarantine lasts, and each time that the store came back
-/// from an older copy, for ever.
+/// Reads the quarantines in the store, deletes expired ones, and writes missing ones again:
+/// once per [`QUARANTINE_DURATION`], and whenever the store was restored from an older copy.
+/// Does not return.
 pub async fn sync(gateway: &Rc<Gateway>) {
     let unreadable = UnreadableLog::default();
     let mut pause = RETRY_FIRST;
     loop {
-        let era = gateway.store.generation();
+        let generation = gateway.store.generation();
         match gateway.store.quarantines().await {
             Ok(listed) => {
                 let stored = merge_stored(gateway, listed, &unreadable).await;
@@ -90,8 +92,7 @@
         }
         tokio::select! {
             () = time::sleep(pause) => (),
-            () = gateway.store.later_generation(era) => {
-                // One of those who watch comes first, and the others find what it wrote.
+            () = gateway.store.later_generation(generation) => {
                 let spread = gateway.rng.borrow_mut().random_range(Duration::ZERO..REREAD_SPREAD);
                 time::sleep(spread).await;
             }
@@ -99,16 +100,17 @@
     }
 }
 
-/// Writes what is quarantined here and does not lie in the store.
+/// Writes the quarantines that the store lacks.
 async fn write_missing(gateway: &Rc<Gateway>, stored: &[Fingerprint]) {
     let known = gateway.suspects.borrow().quarantined_reports(REWRITES_MAX, gateway.clock.now());
-    let lost = known.iter().map(|known| known.request).filter(|known| !stored.contains(known));
-    for request in lost {
+    let missing = known.iter().map(|known| known.request).filter(|known| !stored.contains(known));
+    for request in missing {
         write(gateway.clone(), request).await;
     }
 }
 
-/// Takes in what lies in the store; gives the requests that it names.
+/// Merges the quarantines of the store and deletes expired ones. Returns the fingerprints of
+/// those that remain.
 async fn merge_stored(
     gateway: &Rc<Gateway>,
     listed: ObjectList<StoredQuarantine>,
@@ -121,15 +123,15 @@
         info!(gateway.log, "quarantine read"; "requests" => active.len(), "lapsed" => expired.len(),
             "revision" => %listed.revision);
     }
-    let suspected: Vec<SuspectReport> = active.into_iter().map(|stored| stored.report).collect();
-    merge(gateway, &suspected, FROM_STORE);
+    let reports: Vec<SuspectReport> = active.into_iter().map(|stored| stored.report).collect();
+    merge(gateway, &reports, FROM_STORE);
     gateway.has_quarantines.set(true);
-    let requests = suspected.iter().map(|suspected| suspected.request).collect();
+    let requests = reports.iter().map(|report| report.request).collect();
     for stored in expired {
-        // One that another gateway has cleared or written again is none of ours.
+        // Fails if another gateway has deleted or rewritten it, which needs no action.
         if let Err(error) = gateway.store.delete_quarantine(&stored).await {
             let request = stored.report.request;
-            info!(gateway.log, "lapsed quarantine not cleared"; "fingerprint" => %request,
+            info!(gateway.log, "expired quarantine not deleted"; "fingerprint" => %request,
                 "error" => %error);
         }
     }
--- a/src/mastweir/gateway/suspect_gossip.rs
+++ b/src/mastweir/gateway/suspect_gossip.rs
@@ -1,9 +1,9 @@
-//! What gateways tell each other of requests under which servers ended.
+//! Exchanges reports between gateways on requests under which servers crashed.
 //!
-//! A gateway tells the speakers of its hall, and they those who follow them and the other
-//! halls' speakers; each tells on only what was new to it, so nothing goes in a circle. What
-//! is quarantined speakers tell again and again: some was lost, or told before a gateway
-//! started.
+//! A gateway sends them to the relays of its hall; a relay also sends them to its followers and
+//! to the remote relays. Each gateway forwards only what was new to it, so reports do not loop.
+//! Relays repeat quarantined requests, for gateways that have just started and for lost
+//! datagrams.
 
 use super::{
     message::{Message, SUSPECTS_PER_DATAGRAM},
@@ -13,13 +13,11 @@
 use std::{net::IpAddr, rc::Rc, time::Duration};
 use tokio::{net::UdpSocket, time};
 
-/// News is told on this often: through two speakers all gateways have it within 0.5 s.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(150);
-/// Rounds of that between two times that a speaker tells what is quarantined: a gateway that
-/// has just started knows it 1.5 s later.
+/// Rounds between two repetitions of the quarantined requests.
 const REPEAT_ROUNDS: u32 = 10;
 
-/// Tells others, for ever.
+/// Sends reports to the other gateways. Does not return.
 pub async fn run(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut round = 0_u32;
     loop {
@@ -34,23 +32,24 @@
 fn send_reports(gateway: &Gateway, socket: &UdpSocket, with_quarantined: bool) {
     let now = gateway.clock.now();
     let suspects = gateway.suspects.borrow();
-    let mut told = suspects.recent_reports(now);
+    let mut reports = suspects.recent_reports(now);
     if with_quarantined && gateway.is_relay.get() {
-        told.extend(suspects.quarantined_reports(SUSPECTS_PER_DATAGRAM, now));
+        reports.extend(suspects.quarantined_reports(SUSPECTS_PER_DATAGRAM, now));
     }
     drop(suspects);
-    if told.is_empty() {
+    if reports.is_empty() {
         return;
     }
-    let messages: Vec<Vec<u8>> = told
+    let messages: Vec<Vec<u8>> = reports
         .chunks(SUSPECTS_PER_DATAGRAM)
-        // What can't be encoded can't be told; no message is of that kind.
+        // Encoding does not fail for these messages.
         .filter_map(|chunk| postcard::to_stdvec(&Message::Suspects(chunk.to_vec())).ok())
         .collect();
     send_all(gateway, socket, &recipients(gateway), &messages);
 }
 
-/// The speakers of the hall, and, of one of them, its followers and the other halls' speakers.
+/// Gateways to which this gateway sends gossip: the other relays of its hall and, if it is a
+/// relay, its followers and the remote relays.
 pub fn recipients(gateway: &Gateway) -> Vec<IpAddr> {
     let now = gateway.clock.now();
     let settings = gateway.settings.borrow();
--- a/src/mastweir/gateway/unreadable.rs
+++ b/src/mastweir/gateway/unreadable.rs
@@ -1,4 +1,4 @@
-//! Objects that could not be read: each is told once a revision.
+//! Logs objects of the store that a gateway can't read, once per revision.
 
 use super::state::Gateway;
 use crate::platform::objects::UnreadableObject;
@@ -6,16 +6,16 @@
 use slog::warn;
 use std::{cell::RefCell, collections::HashMap};
 
-/// Objects whose last unreadable revision is remembered. Beyond it they are only counted:
-/// another writer must not fill the log.
+/// Number of objects whose last unreadable revision is remembered. More of them are counted
+/// but not logged, so that a faulty writer can't fill the log.
 const REMEMBERED_MAX: usize = 256;
 
-/// Which of them were told.
+/// The last logged revision of each unreadable object, by name.
 #[derive(Debug, Default)]
 pub struct UnreadableLog(RefCell<HashMap<String, Revision>>);
 
 impl UnreadableLog {
-    /// Counts one, and says so unless that revision of it was told.
+    /// Counts an unreadable object, and logs it unless that revision was logged before.
     pub fn log(&self, gateway: &Gateway, kind: &'static str, object: &UnreadableObject) {
         gateway.metrics.count("objects_unread_total", kind);
         let UnreadableObject { name, revision, reason } = object;
@@ -26,6 +26,6 @@
         }
         reported.insert(name.clone(), *revision);
         warn!(gateway.log, "object not read"; "kind" => kind, "name" => name, "revision" => %revision,
-            "error" => reason, "remedy" => "it is passed over; see who wrote it");
+            "error" => reason, "remedy" => "the object is skipped; find out who wrote it");
     }
 }
