--- a/crates/mastweir-test-support/src/site.rs
+++ b/crates/mastweir-test-support/src/site.rs
@@ -207,10 +207,10 @@
             ip,
             internal_port: self.ports.internal,
             seeds: self.ips.clone(),
-            callers: Some(callers),
-            ready: Some(ready),
-            engine: None,
-            store,
+            caller_addr: Some(callers),
+            ready_addr: Some(ready),
+            engine_addr: None,
+            store_addr: store,
             power: 250,
             bounds: Bounds {
                 drain: Duration::from_secs(2),
@@ -225,8 +225,8 @@
         let clock = Clock::start();
         let options = GatewayOptions {
             settings: receiver,
-            callers,
-            ready,
+            caller_addr: callers,
+            ready_addr: ready,
             metrics_port: None,
             seed: Some(7),
             clock: clock.clone(),
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -50,12 +50,12 @@
         let settings = gateway.settings.borrow();
         (settings.ip, settings.internal_port)
     };
-    let callers = bind(options.callers).await?;
-    let ready = bind(options.ready).await?;
+    let callers = bind(options.caller_addr).await?;
+    let ready = bind(options.ready_addr).await?;
     let own = SocketAddr::new(ip, port);
     let internal = bind(own).await?;
     let socket = UdpSocket::bind(own).await.wrap_err_with(|| format!("binding {own}"))?;
-    info!(gateway.log, "gateway started"; "callers" => %options.callers, "internal" => %own);
+    info!(gateway.log, "gateway started"; "callers" => %options.caller_addr, "internal" => %own);
     let (closing, closed) = flag::channel(false);
     let counted = gateway.clone();
     task::spawn_local(generations::watch(gateway.store.clone(), gateway.log.clone(), move || {
--- a/src/mastweir/gateway/settings.rs
+++ b/src/mastweir/gateway/settings.rs
@@ -21,13 +21,13 @@
     /// Instances that may run a gateway, possibly stale.
     pub seeds: Vec<IpAddr>,
     /// Where callers connect, at a gateway.
-    pub callers: Option<SocketAddr>,
+    pub caller_addr: Option<SocketAddr>,
     /// Where the platform's balancer asks whether a gateway is ready.
-    pub ready: Option<SocketAddr>,
+    pub ready_addr: Option<SocketAddr>,
     /// The model server beside a sidecar.
-    pub engine: Option<SocketAddr>,
+    pub engine_addr: Option<SocketAddr>,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_addr: SocketAddr,
     /// Part of a core that the instance has, in thousandths.
     pub power: u32,
     /// What is promised.
@@ -53,7 +53,7 @@
 
 /// Settings that can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum SettingsProblem {
+pub enum SettingsFileError {
     /// Nothing says where they are.
     #[error("no settings: {variable} is not set; set it to the path of the settings file")]
     NoPath {
@@ -62,7 +62,7 @@
     },
     /// The file can't be read.
     #[error("reading {}: {source}; check that the file is there and readable", path.display())]
-    Unread {
+    Unreadable {
         /// The file.
         path: PathBuf,
         /// Why.
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -38,9 +38,9 @@
     /// Where it runs; may change.
     pub settings: watch::Receiver<Settings>,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Where the balancer asks whether it is ready.
-    pub ready: SocketAddr,
+    pub ready_addr: SocketAddr,
     /// Port for metrics, on its own address.
     pub metrics_port: Option<u16>,
     /// Seed of random choices; drawn if none is given.
@@ -136,7 +136,7 @@
             clock: options.clock.clone(),
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
             metrics: MetricsRegistry::default(),
-            store: Store::new(settings.store, Rc::new(Pool::default())),
+            store: Store::new(settings.store_addr, Rc::new(Pool::default())),
             outages: Notify::new(),
             server_pool: Pool::default(),
             internal_pool: Pool::default(),
--- a/src/mastweir/ops/gateway.rs
+++ b/src/mastweir/ops/gateway.rs
@@ -59,8 +59,8 @@
     let (sender, reloaded) = watch::channel(settings);
     let options = GatewayOptions {
         settings: reloaded,
-        callers,
-        ready,
+        caller_addr: callers,
+        ready_addr: ready,
         metrics_port: options.metrics_port,
         seed: options.seed,
         clock: Clock::start(),
--- a/src/mastweir/platform/settings.rs
+++ b/src/mastweir/platform/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! Fields that are not known here are ignored: the platform adds some.
 
-use crate::gateway::settings::{Bounds, Settings, SettingsProblem};
+use crate::gateway::settings::{Bounds, Settings, SettingsFileError};
 use serde::Deserialize;
 use std::{
     env, fs,
@@ -69,10 +69,10 @@
 /// # Errors
 ///
 /// The variable is not set.
-pub fn path() -> Result<PathBuf, SettingsProblem> {
+pub fn path() -> Result<PathBuf, SettingsFileError> {
     env::var_os(PATH_VARIABLE)
         .map(PathBuf::from)
-        .ok_or(SettingsProblem::NoPath { variable: PATH_VARIABLE })
+        .ok_or(SettingsFileError::NoPath { variable: PATH_VARIABLE })
 }
 
 /// Reads and checks the settings file.
@@ -80,9 +80,9 @@
 /// # Errors
 ///
 /// The file can't be read, or a field is missing or can't be.
-pub fn read(path: &Path) -> Result<Settings, SettingsProblem> {
+pub fn read(path: &Path) -> Result<Settings, SettingsFileError> {
     let text = fs::read_to_string(path)
-        .map_err(|source| SettingsProblem::Unread { path: path.to_owned(), source })?;
+        .map_err(|source| SettingsFileError::Unreadable { path: path.to_owned(), source })?;
     parse(&text)
 }
 
@@ -91,19 +91,19 @@
 /// # Errors
 ///
 /// A field is missing or can't be.
-pub fn parse(text: &str) -> Result<Settings, SettingsProblem> {
+pub fn parse(text: &str) -> Result<Settings, SettingsFileError> {
     let file: File = toml::from_str(text)
-        .map_err(|error| SettingsProblem::Malformed { detail: error.to_string() })?;
+        .map_err(|error| SettingsFileError::Malformed { detail: error.to_string() })?;
     let [first, last] = file.internal_ports;
     if first == 0 || first > last {
-        return Err(SettingsProblem::BadValue {
+        return Err(SettingsFileError::BadValue {
             field: "internal_ports",
             remedy: "give the first and the last free port, the first not above the last",
         });
     }
     let ratio = file.bounds.retry_budget_ratio;
     if !(0.0..=10.0).contains(&ratio) {
-        return Err(SettingsProblem::BadValue {
+        return Err(SettingsFileError::BadValue {
             field: "bounds.retry_budget_ratio",
             remedy: "give retries a request, 0 to 10",
         });
@@ -116,10 +116,10 @@
         // Addresses of a role that we do not listen for: only the machines
         // that they name are of use.
         seeds: file.seeds.iter().map(SocketAddr::ip).collect(),
-        callers: file.listen.front,
-        ready: file.listen.ready,
-        engine: file.app,
-        store: file.platform.address,
+        caller_addr: file.listen.front,
+        ready_addr: file.listen.ready,
+        engine_addr: file.app,
+        store_addr: file.platform.address,
         power: (file.limits.cpu_share.clamp(0.0, 1_000.0) * 1_000.0) as u32,
         bounds: Bounds {
             drain: Duration::from_millis(file.bounds.drain_ms),
@@ -137,9 +137,10 @@
 /// # Errors
 ///
 /// The settings are those of another class of instances.
-pub fn listeners(settings: &Settings) -> Result<(SocketAddr, SocketAddr), SettingsProblem> {
-    let callers = settings.callers.ok_or(SettingsProblem::Missing { field: "listen.front" })?;
-    let ready = settings.ready.ok_or(SettingsProblem::Missing { field: "listen.ready" })?;
+pub fn listeners(settings: &Settings) -> Result<(SocketAddr, SocketAddr), SettingsFileError> {
+    let callers =
+        settings.caller_addr.ok_or(SettingsFileError::Missing { field: "listen.front" })?;
+    let ready = settings.ready_addr.ok_or(SettingsFileError::Missing { field: "listen.ready" })?;
     Ok((callers, ready))
 }
 
@@ -148,6 +149,6 @@
 /// # Errors
 ///
 /// The settings are those of another class of instances.
-pub fn engine(settings: &Settings) -> Result<SocketAddr, SettingsProblem> {
-    settings.engine.ok_or(SettingsProblem::Missing { field: "app" })
+pub fn engine(settings: &Settings) -> Result<SocketAddr, SettingsFileError> {
+    settings.engine_addr.ok_or(SettingsFileError::Missing { field: "app" })
 }
--- a/src/mastweir/sidecar/state.rs
+++ b/src/mastweir/sidecar/state.rs
@@ -112,7 +112,7 @@
             clock: Clock::start(),
             log: options.log.new(slog::o!("instance" => settings.name.clone())),
             engine: EngineClient::new(options.engine, Rc::new(Pool::default())),
-            store: Store::new(settings.store, Rc::new(Pool::default())),
+            store: Store::new(settings.store_addr, Rc::new(Pool::default())),
             peer_pool: Rc::new(Pool::default()),
             socket,
             relays: RefCell::default(),
