--- a/crates/mastweir-core/src/switch/election.rs
+++ b/crates/mastweir-core/src/switch/election.rs
@@ -1,9 +1,10 @@
 //! Decides when a rank's sidecar may try to become the coordinator of its group.
 //!
-//! The lease in the store ensures that there is one coordinator; this module avoids that many
-//! sidecars request it at once. Each rank waits for a time that grows with its number. In a group
-//! whose coordinator changes often all ranks wait longer, since more changes only add to the load
-//! where messages are lost or late.
+//! A lease in the store ensures that there is one coordinator. Each holder takes the lease with a
+//! fencing token higher than all before. This module keeps the sidecars of a group from trying to
+//! take the lease all at once: each rank waits for a time that grows with its number. In a group
+//! whose coordinator changes often all ranks wait longer, since messages are then probably lost
+//! or late, and a further change only adds load.
 
 use super::first_epoch;
 use crate::time::Uptime;
@@ -11,25 +12,26 @@
 
 /// Time without a sign of the coordinator after which it counts as failed: four poll periods.
 pub const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(450);
-/// Same as [`COORDINATOR_TIMEOUT`] in groups polled through aggregators: a failed aggregator
-/// is replaced only two polls later.
+/// Same as [`COORDINATOR_TIMEOUT`] in groups polled through aggregators (see
+/// [`subtrees`](super::subtrees)): a failed aggregator is replaced only two polls later.
 const INDIRECT_TIMEOUT: Duration = Duration::from_millis(650);
 /// Size of a group up to which the coordinator polls each rank itself.
 const DIRECT_RANKS_MAX: u32 = 16;
 /// Additional wait of each rank over the previous one. Long enough to take the lease and reach
 /// the others with a poll.
 const RANK_DELAY: Duration = Duration::from_millis(80);
-/// Additional wait per rank after the first [`FIRST_RANKS`], which keeps it short in large
+/// The same for ranks after the first [`FIRST_RANKS`]; shorter, to bound the wait in large
 /// groups.
 const LATER_RANK_DELAY: Duration = Duration::from_millis(20);
 const FIRST_RANKS: u32 = 16;
-/// Each change of coordinator within this time, but the first, doubles the wait.
+/// Time for which a change of coordinator counts. Each one after the first doubles the wait.
 const CHANGES_WINDOW: Duration = Duration::from_secs(10);
 const DOUBLINGS_MAX: u32 = 3;
 
 /// A rank's knowledge of the coordinators of its group.
 #[derive(Clone, Debug, Default)]
 pub struct Election {
+    /// Fencing token of the newest coordinator known; zero if none is known.
     token: u64,
     waiting_since: Uptime,
     changes: VecDeque<Uptime>,
@@ -64,15 +66,16 @@
         self.token
     }
 
-    /// Returns the token to take the lease with, where `last` is the token it was last taken
-    /// with in the store's `generation`. The result is above all tokens issued, including those
-    /// that a restored store has lost.
+    /// Returns the token with which to take the lease; `last` is the token with which it was last
+    /// taken in the store's `generation`. The result is higher than all tokens issued before,
+    /// also those that a store restored from an older copy has lost.
     pub fn next_token(&self, last: u64, generation: u64) -> u64 {
         last.max(self.token).max(first_epoch(generation)) + 1
     }
 
-    /// Returns whether to leave the lease, last taken with `token`, to a coordinator whose first
-    /// poll has not arrived yet. False while no coordinator is known, e.g. after a restart.
+    /// Returns whether the lease, last taken with `token`, has a coordinator that is newer than
+    /// the one known here, and then restarts the wait: its first poll may not have arrived yet.
+    /// False while no coordinator is known, e.g. after a restart.
     pub fn defers_to(&mut self, token: u64, now: Uptime) -> bool {
         let defers = self.token > 0 && token > self.token;
         if defers {
--- a/crates/mastweir-core/src/switch/map_change.rs
+++ b/crates/mastweir-core/src/switch/map_change.rs
@@ -1,9 +1,10 @@
 //! Changes the expert map of a group whose servers take fenced orders.
 //!
-//! These ranks are not [`Rank`](super::Rank)s, and an order without an answer may still be carried
-//! out seconds later. So decisions rest only on the states that the ranks report ([`RankState`]),
-//! never on which orders were sent. Each order names the number of orders that its rank had taken,
-//! so that of an order and its retries only one is accepted.
+//! Unlike [`Rank`](super::Rank), such a server makes no promises before a change, and an order
+//! without an answer may still be carried out seconds later. So decisions rest only on the states
+//! that the ranks report ([`RankState`]), never on which orders were sent. Each order names the
+//! number of orders that its rank had taken, so that of an order and its retries only one is
+//! accepted.
 //!
 //! A change loads the new map at every rank, pauses the group before a pass that has not begun,
 //! schedules the map for that pass at every rank, and resumes the group. While the group is paused
@@ -13,27 +14,31 @@
 //!
 //! - A paused group is resumed only when every rank has the same map scheduled.
 //! - If only some ranks have a map scheduled and the others have it loaded, it is scheduled there.
-//! - If the others can't get it, a version is cancelled only once some rank has a newer one. A rank
-//!   never accepts an older version, so the cancelled one can't come to be scheduled at all ranks
-//!   and a late order to cancel it does no harm. Until some rank has a newer version, the
-//!   coordinator loads its own map where nothing is scheduled.
+//! - If some of the others do not have it loaded, the scheduled version is cancelled, but not
+//!   before some rank has a newer version. A rank never accepts an older version than it has, so
+//!   from then on the cancelled version can't come to be scheduled at every rank, and a late order
+//!   to cancel it does no harm. To get there, the coordinator loads its own map, whose version is
+//!   newer, at the ranks where nothing is scheduled.
 //! - If no rank has a map scheduled, the coordinator's own map is loaded and scheduled. From then
 //!   on no rank accepts a predecessor's map.
 //!
-//! None of this relies on fencing tokens, since not all servers check them.
+//! Versions contain the coordinator's fencing token, so that a successor's are newer. But safety
+//! does not depend on servers refusing orders with an old token, since not all servers check it.
 //!
-//! A coordinator pauses the group at the rank after its own, once all ranks have its map loaded,
-//! and schedules the map at its own rank last, once all others have it. This lets a successor roll back
-//! the change when it can't reach the predecessor's rank: if the pause is the predecessor's, no
-//! older map can be scheduled at that rank, and if any other rank has nothing scheduled, that rank
-//! has not either. The successor cancels what is scheduled, loads its own map at the other ranks
-//! and resumes. A pause for another reason is set one rank further, so that it can be told apart.
-//! A coordinator never continues the change of a successor.
+//! A coordinator pauses the group at the rank after its own, and only when all ranks have its map
+//! loaded. It schedules the map at its own rank last, when all others have it scheduled. So a
+//! successor that can't reach the predecessor's rank can still roll back the change. If the pause
+//! is the predecessor's, the unreachable rank has loaded the predecessor's map, so that no older
+//! map can be scheduled there; and if any other rank has nothing scheduled, neither has the
+//! unreachable rank. The successor cancels what is scheduled, loads its own map at the other ranks
+//! and resumes the group. A pause to repair a partly scheduled change is set one rank further, so
+//! that a successor can tell the two kinds apart. A coordinator never continues a change with a
+//! token higher than its own.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Experts of one rank by set.
+/// Experts of one rank by set, a number of layers that share one placement.
 pub type RankExperts = Vec<Vec<u16>>;
 /// Experts by set and rank.
 pub type GroupMap = Vec<Vec<Vec<u16>>>;
@@ -171,8 +176,8 @@
     pub token: u64,
     /// Rank of the coordinator with the token before, if it is another rank and known.
     pub predecessor: Option<usize>,
-    /// Number of passes from the last one begun to the one before which the group is paused.
-    /// Should cover the time of the orders to all ranks, so that the group does not stall.
+    /// A change pauses the group before the pass that is this many after the last one begun.
+    /// Should cover the time that orders to all ranks take, so that the group does not stall.
     pub lookahead: u64,
 }
 
@@ -264,14 +269,14 @@
     replace(group, target)
 }
 
-/// Handles a version that some ranks have scheduled and others can't get. Until some rank has a
-/// newer one, the target map is loaded; then the version is cancelled. Cancelled sooner, the order
-/// could arrive after all ranks had it scheduled and the group was resumed, and a pass would run
-/// under two maps.
+/// Handles a version that some ranks have scheduled and others have not loaded. The target map is
+/// loaded until some rank has a newer version; then the scheduled one is cancelled. A cancellation
+/// sent sooner could arrive after all ranks had scheduled the version and the group was resumed,
+/// and a pass would run under two maps.
 fn replace(group: GroupSnapshot<'_>, target: Option<&TargetMap>) -> Action {
-    let is_lost = |version: u64| group.known().any(|(_, rank)| rank.has_newer(version));
+    let is_superseded = |version: u64| group.known().any(|(_, rank)| rank.has_newer(version));
     let cancel = group.order_each(|_, rank| {
-        let (version, _) = rank.scheduled.filter(|(version, _)| is_lost(*version))?;
+        let (version, _) = rank.scheduled.filter(|(version, _)| is_superseded(*version))?;
         Some(OrderKind::Cancel { version })
     });
     if cancel != Action::Wait {
--- a/crates/mastweir-core/src/switch/subtrees.rs
+++ b/crates/mastweir-core/src/switch/subtrees.rs
@@ -1,22 +1,24 @@
-//! Divides the ranks of a group into subtrees, through which the coordinator polls and orders them.
+//! Divides the ranks of a group into subtrees, through which the coordinator sends polls and orders.
 //!
-//! In a small group the coordinator contacts each rank itself. In a larger one the ranks of each
-//! hall are divided into subtrees of about the square root of the group's size. One rank of each
+//! In a small group the coordinator contacts each rank itself. In a larger one of n ranks, those of
+//! each hall are divided into subtrees of at most sqrt(n) ranks, rounded up. One rank of each
 //! subtree, its aggregator, forwards polls and orders to the others and returns their summed
-//! answers, so that the coordinator handles one message per subtree. The coordinator chooses the
-//! aggregators anew for each poll from the ranks that answered recently; no agreement is needed.
+//! answers, so that the coordinator handles one message per subtree. The coordinator alone chooses
+//! the aggregators, anew for each poll, from the ranks that answered recently.
 
 use crate::time::Uptime;
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 /// Size of a group up to which the coordinator contacts each rank itself.
 const DIRECT_RANKS_MAX: usize = 16;
-/// Members silent for this long become aggregators only if all others are; two poll periods.
+/// Silence after which a member is chosen as aggregator only if its whole subtree is silent; two
+/// poll periods.
 const AGGREGATOR_STALE_AFTER: Duration = Duration::from_millis(220);
-/// Time for which an aggregator that failed to answer is not chosen again.
+/// Time for which an aggregator that failed to answer is chosen again only if no other member of
+/// its subtree was seen recently.
 const AGGREGATOR_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A rank's server, as the coordinator knows it.
+/// A member of a group: the server of one rank, as the coordinator knows it.
 #[derive(Clone, Debug, Default)]
 pub struct GroupMember {
     /// Empty if not known.
@@ -37,7 +39,7 @@
 
 /// Divides the members into subtrees.
 pub fn subtrees(members: &GroupMembers, now: Uptime) -> Vec<Subtree> {
-    let size = if members.len() <= DIRECT_RANKS_MAX {
+    let max_size = if members.len() <= DIRECT_RANKS_MAX {
         1
     } else {
         (members.len() as f64).sqrt().ceil() as usize
@@ -48,10 +50,10 @@
     }
     let mut subtrees = Vec::new();
     for hall in halls.into_values() {
-        // The fewest subtrees that keep to the size, of nearly equal size.
-        let count = hall.len().div_ceil(size);
-        let each = hall.len().div_ceil(count);
-        subtrees.extend(hall.chunks(each).map(|subtree| with_aggregator(subtree, members, now)));
+        // As few subtrees as the maximum size allows, of nearly equal size.
+        let count = hall.len().div_ceil(max_size);
+        let size = hall.len().div_ceil(count);
+        subtrees.extend(hall.chunks(size).map(|subtree| with_aggregator(subtree, members, now)));
     }
     subtrees
 }
