--- a/crates/mastweir-core/src/experts/demand.rs
+++ b/crates/mastweir-core/src/experts/demand.rs
@@ -1,8 +1,9 @@
 //! Long-term estimate of the demand for each expert.
 //!
-//! Counts arrive late, are noisy and may be missing. Each expert has two exponential
-//! averages. The slow one is the estimate; when the fast one differs from it by more than
-//! noise explains, demand has jumped, and the slow average is reset to the fast one.
+//! Reports count the model tokens routed to each expert. They arrive late, vary at random and
+//! may be missing. Each expert has two exponential averages. The slow one is the estimate; when
+//! the fast one differs from it by more than random variation explains, demand has jumped, and
+//! the slow average is reset to the fast one.
 
 /// Weight of the newest count in the fast average, and in the slow one after a reset.
 const FAST_WEIGHT: f64 = 0.3;
@@ -72,13 +73,13 @@
         self.reports
     }
 
-    /// Sets the slow average to the fast one if they differ by more than noise. The
-    /// deviation of the fast average is that of a count times
+    /// Sets the slow average to the fast one if they differ by more than random variation
+    /// explains. The standard deviation of the fast average is that of a count times
     /// `sqrt(FAST_WEIGHT / (2 - FAST_WEIGHT))`.
     fn reset_on_jump(&mut self, i: usize) {
-        let noise = self.variance[i].max(self.slow[i]).max(MIN_VARIANCE).sqrt();
-        let noise = noise * (FAST_WEIGHT / (2.0 - FAST_WEIGHT)).sqrt();
-        if (self.fast[i] - self.slow[i]).abs() > JUMP_DEVIATIONS * noise {
+        let deviation = self.variance[i].max(self.slow[i]).max(MIN_VARIANCE).sqrt();
+        let deviation = deviation * (FAST_WEIGHT / (2.0 - FAST_WEIGHT)).sqrt();
+        if (self.fast[i] - self.slow[i]).abs() > JUMP_DEVIATIONS * deviation {
             self.slow[i] = self.fast[i];
             self.weight[i] = FAST_WEIGHT;
         }
--- a/crates/mastweir-core/src/experts/layer_planner.rs
+++ b/crates/mastweir-core/src/experts/layer_planner.rs
@@ -1,17 +1,18 @@
 //! Plans whole expert maps of a group, over all sets of layers.
 //!
-//! The time of a pass is the sum over the sets of the most loaded rank's load, so a plan
-//! lowers that sum. Loading an expert takes time and slows passes down, and demand moves on
-//! meanwhile. Each number of steps is therefore scored by the time saved within a horizon
-//! minus the cost of its loads. Where a group has slots for requests to spare, faster
-//! passes help little; `pressure` scales the gain. A slow rank takes longer for the same
-//! work, so its experts are copied to other ranks and then dropped from the slow one, which
-//! needs no load.
+//! A set is a number of layers that share one placement of their experts. In each set the
+//! ranks wait for the one that works longest, so a plan lowers the skew, the work time of that
+//! rank over the mean, on average over the sets. Transferring an expert's weights to a rank takes
+//! time and slows passes down, and demand changes meanwhile. So a plan is worth the time that
+//! it saves within a horizon, less the cost of its transfers. Where a group has slots for
+//! requests to spare, faster passes help little; `pressure` scales the gain. A slow rank takes
+//! longer for the same work, so its experts are copied to other ranks and then dropped from
+//! the slow one; dropping needs no transfer.
 //!
-//! The planner takes the best step of any set, first with one load per rank, then with
-//! larger budgets, and keeps the prefix of steps with the highest net gain. A plan for a
-//! large group takes thousands of steps. [`Planning::advance`] runs a few at a time, so
-//! that the sidecar can handle polls in between.
+//! The planner takes the best step of any set (a copy of an expert, or dropping one), first
+//! with one transfer per rank, then with larger budgets, and keeps the first steps up to the
+//! highest net gain. A plan for a large group takes thousands of steps. [`Planning::advance`]
+//! runs a few at a time, so that the sidecar can handle polls in between.
 
 use super::{
     Workload,
@@ -30,7 +31,7 @@
     pub load_s: f64,
     /// Seconds for which a plan is assumed to help.
     pub horizon_s: f64,
-    /// Cost of loading one expert, in seconds of passes at mean load.
+    /// Cost of loading one expert, in seconds of the group's passes without skew.
     pub load_cost: f64,
     /// Fixed cost of a change of map, in the same unit.
     pub change_cost: f64,
@@ -42,9 +43,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerPlan {
     pub map: GroupMap,
-    /// Highest number of loads at one rank.
+    /// Highest number of experts that one rank has to load.
     pub max_loads: usize,
-    /// Loads at all ranks.
+    /// Number of experts that all ranks together have to load.
     pub total_loads: usize,
     /// Mean skew over the sets before the change.
     pub skew_before: f64,
@@ -52,14 +53,14 @@
     pub skew_after: f64,
 }
 
-/// Limits on the loads per rank, tried in this order.
+/// Limits on the experts that a rank has to load, tried in this order.
 const LOAD_BUDGETS: [usize; 8] = [1, 2, 3, 5, 8, 12, 20, 32];
-/// Steps without a better plan after which the next budget is tried: a fixed number, and
+/// Steps without a higher net gain after which the next budget is tried: a fixed number, and
 /// some per rank, since many ranks may be equally loaded.
 const FUTILE_STEPS_PER_RANK: usize = 1;
 const MIN_FUTILE_STEPS: usize = 32;
 
-/// Returns the mean skew over the sets: the load of the slowest rank over the mean load.
+/// Returns the mean skew over the sets.
 pub fn mean_skew(map: &GroupMap, work: Workload<'_>) -> f64 {
     let sets = map.iter().zip(work.demand);
     let sum: f64 = sets.map(|(ranks, demand)| layer_set::skew(ranks, demand, work)).sum();
@@ -97,7 +98,8 @@
 }
 
 impl<'a> Planning<'a> {
-    /// Starts a plan from `map`. `pressure` is the value of faster passes, 0 to 1.
+    /// Starts a plan from `map`. `pressure` is the value of faster passes: 0 if they save
+    /// nothing, 1 if all of the time saved counts.
     pub fn new(
         planner: LayerPlanner,
         map: &'a GroupMap,
--- a/crates/mastweir-core/src/experts/layer_set.rs
+++ b/crates/mastweir-core/src/experts/layer_set.rs
@@ -1,4 +1,5 @@
-//! One set of layers during planning: which ranks hold which experts, and their loads.
+//! One set of layers during planning: which ranks hold which experts, and the load of each
+//! rank, i.e. the time that it takes for its experts.
 //!
 //! A step only changes the loads of the ranks that hold the copied, evicted or dropped
 //! experts. The new maximum follows from these and from a short list of the most loaded
@@ -8,10 +9,10 @@
 const TOP_RANKS: usize = 8;
 /// Number of least loaded ranks considered as targets of a copy.
 const TARGET_RANKS: usize = 6;
-/// Minimum gain of a copy, in mean loads; excludes rounding errors.
+/// Minimum gain of a copy, relative to the mean load; excludes rounding errors.
 const MIN_COPY_GAIN: f64 = 1e-6;
-/// Minimum gain of a drop, in mean loads. Higher, since a dropped copy has to be loaded again when
-/// demand shifts.
+/// Minimum gain of a drop, relative to the mean load. Higher, since a dropped copy has to be
+/// transferred again when demand shifts.
 const MIN_DROP_GAIN: f64 = 0.02;
 /// Weight of lowering the most loaded rank while another is equally loaded.
 const TIE_WEIGHT: f64 = 0.05;
@@ -47,7 +48,7 @@
     }
 }
 
-/// A step and its gain in mean loads.
+/// A step and its gain relative to the mean load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ScoredStep {
     pub(super) step: Step,
@@ -55,7 +56,7 @@
 }
 
 impl ScoredStep {
-    /// Returns whether the step loads an expert at `rank`.
+    /// Returns whether the step adds an expert at `rank`.
     pub(super) fn loads_at(&self, rank: Option<usize>) -> bool {
         matches!(self.step, Step::Copy { to, .. } if Some(to) == rank)
     }
@@ -67,9 +68,9 @@
     pub(super) slots: usize,
     /// Maximum number of experts per rank that one plan adds.
     pub(super) max_new: usize,
-    /// Loads of each rank in the plan so far, over all sets.
+    /// Number of experts that the plan so far adds at each rank, over all sets.
     pub(super) loads_used: &'a [usize],
-    /// Maximum number of loads per rank.
+    /// Maximum of that number.
     pub(super) budget: usize,
 }
 
@@ -154,7 +155,7 @@
         top
     }
 
-    /// Returns the least loaded ranks that may load another expert.
+    /// Returns the least loaded ranks that may get another expert.
     fn least_loaded(&self, limits: StepLimits<'_>) -> Vec<usize> {
         let mut targets: Vec<usize> = Vec::with_capacity(TARGET_RANKS + 1);
         for (rank, load) in self.loads.iter().enumerate() {
--- a/crates/mastweir-core/src/experts/placement.rs
+++ b/crates/mastweir-core/src/experts/placement.rs
@@ -28,7 +28,7 @@
     /// Assigns experts to slots in order of their numbers, starting over when slots are
     /// left.
     pub fn sequential(experts: usize, ranks: usize, slots: usize) -> Self {
-        let expert = |place| place % experts;
+        let expert = |index| index % experts;
         let rank = |rank| (0..slots).map(|slot| expert(rank * slots + slot)).collect();
         Self::new((0..ranks).map(rank).collect(), experts)
     }
@@ -73,8 +73,8 @@
 fn missing(from: &[Expert], to: &[Expert]) -> usize {
     let mut held = from.to_vec();
     let is_missing = |expert: &&Expert| match held.iter().position(|other| other == *expert) {
-        Some(place) => {
-            held.swap_remove(place);
+        Some(at) => {
+            held.swap_remove(at);
             false
         }
         None => true,
--- a/crates/mastweir-core/src/experts/planner.rs
+++ b/crates/mastweir-core/src/experts/planner.rs
@@ -1,12 +1,13 @@
 //! Planner that makes a few slot changes at a time.
 //!
-//! It adds the best next change step by step and keeps the number of changes with the
-//! highest net gain. It changes nothing if the gain is within the error of the demand
-//! estimate.
+//! Skew is the load of the most loaded rank over the mean load; the time of a pass is
+//! proportional to it. The planner takes the best next step, a copy (one slot change) or a
+//! swap (two), until none is left, and keeps the first steps up to the highest net gain. It
+//! changes nothing if the gain is within the error of the demand estimate.
 
 use super::{Demand, Placement, SlotChange, skew};
 
-/// Weights step-time skew against the cost of rebalancing.
+/// Weighs the time lost to skew against the cost of rebalancing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannerConfig {
     /// Seconds for which a saving is assumed to last.
@@ -15,9 +16,9 @@
     pub load_cost_s: f64,
     /// Skew up to which no change is made.
     pub min_skew: f64,
-    /// Maximum number of changes per plan.
+    /// Number of changes at which a plan ends. A swap as its last step may exceed it by one.
     pub max_changes: usize,
-    /// Standard errors of the estimate that a saving has to exceed.
+    /// Number of standard errors of the estimated skew that a saving has to exceed.
     pub confidence: f64,
 }
 
@@ -30,7 +31,7 @@
         max_changes: 12,
         confidence: 2.5,
     };
-    /// For deployments that prefer few loads.
+    /// For deployments that prefer to load few experts.
     pub const LOW_COST: Self =
         Self { horizon_s: 60.0, load_cost_s: 0.9, min_skew: 1.05, max_changes: 6, confidence: 3.0 };
 }
@@ -101,9 +102,9 @@
         Decision { reason: PlanReason::Worthwhile, skew_before, skew_after, changes }
     }
 
-    /// Adds the best next change until none is left, and returns the prefix with the
-    /// highest net gain. A change that does not pay alone may pay together with the next
-    /// one.
+    /// Takes the best next step until none is left. Returns the changes up to the highest net
+    /// gain, and the skew after them. A step that costs more than it saves may be worth its
+    /// cost together with the next one.
     fn search(&self, demand: &[f64], from: &Placement, skew_before: f64) -> (Vec<SlotChange>, f64) {
         let mut placement = from.clone();
         let mut changes: Vec<SlotChange> = Vec::new();
@@ -125,13 +126,12 @@
         (changes, best.2)
     }
 
-    /// Returns the seconds saved over the horizon; the time of a pass is proportional to
-    /// the skew.
+    /// Returns the seconds saved over the horizon by a lower skew.
     fn gain(&self, before: f64, after: f64) -> f64 {
         self.config.horizon_s * (before - after) / before
     }
 
-    /// Returns the cost of the loads, in seconds of the group's time.
+    /// Returns the cost of loading experts for the changes, in seconds of the group's time.
     fn cost(&self, changes: usize) -> f64 {
         self.config.load_cost_s * changes as f64
     }
@@ -163,8 +163,8 @@
         step.iter().for_each(|change| next.apply(*change));
         let after = next.loads(demand);
         let most = after.iter().copied().fold(0.0, f64::max);
-        // If another rank remains the most loaded one, prefers the step that lowers this
-        // rank more.
+        // Breaks ties, where another rank is as loaded: prefers the step that takes more load
+        // off this rank.
         let lowered = loads[slowest] - after[slowest].min(loads[slowest]);
         (loads[slowest] - most + lowered * 1e-3) / step.len() as f64
     };
--- a/crates/mastweir-core/src/experts/recent_demand.rs
+++ b/crates/mastweir-core/src/experts/recent_demand.rs
@@ -1,28 +1,32 @@
 //! Short-term estimate of the demand for experts, for groups whose popular experts change
 //! within seconds.
 //!
-//! Selections are counted by set of layers and expert in two exponentially decaying sums.
-//! The slow one is the estimate. When the distribution of the fast one differs from it by
-//! more than noise explains, demand has shifted, and both are reset, because older counts
-//! no longer apply.
+//! A selection is the routing of a model token to an expert. Ranks report counts of
+//! selections by expert and set, a number of layers that share one placement. They are added
+//! to two exponentially decaying sums. The slow one is the estimate from which the placement
+//! is planned. When the distribution of the fast one differs from it by more than the
+//! sampling error explains, demand has shifted, and both are reset, because older counts no
+//! longer apply.
 
 use crate::time::Uptime;
 use std::time::Duration;
 
 /// Seconds in which the weight of a count falls to 1/e. The slow sum covers enough
-/// selections to tell experts apart; the fast one is mostly the last report of each rank.
+/// selections to tell experts apart; in the fast one the last report of each rank dominates.
 const SLOW_DECAY_S: f64 = 1.0;
 const FAST_DECAY_S: f64 = 0.12;
 /// Selections per set needed for a plan.
 const MIN_SELECTIONS: f64 = 300.0;
-/// Part of a report interval after a shift during which counts are partly from before it.
+/// Time after a shift, as part of a report interval, in which reports still include counts
+/// from before the shift.
 const MIXED_FRACTION: f64 = 0.8;
 /// Distance of the two distributions (0 to 2) that counts as a shift, in addition to the
-/// expected noise.
+/// expected sampling error.
 const MIN_SHIFT_DISTANCE: f64 = 0.25;
-const NOISE_FACTOR: f64 = 1.0;
-/// Part of a set's demand spread evenly over its experts, so that an expert without recent
-/// selections is not assumed to be idle.
+/// Factor on the sampling error of each expert's share of the fast sum.
+const SAMPLING_ERROR_FACTOR: f64 = 1.0;
+/// Demand added in equal parts to all experts of a set, as part of the set's demand, so that
+/// an expert without recent selections is not assumed to be idle.
 const UNIFORM_FRACTION: f64 = 0.1;
 
 #[derive(Clone, Debug)]
@@ -96,8 +100,8 @@
         if now < self.mixed_until {
             return false;
         }
-        // Large groups report their sets in turn. A set without counts would be planned as
-        // if it had no demand.
+        // In large groups a report covers only some of the sets. A set without counts would be
+        // planned as if it had no demand.
         let mut sets = self.slow.weights.chunks(self.experts);
         sets.all(|set| set.iter().sum::<f64>() > MIN_SELECTIONS)
     }
@@ -112,11 +116,12 @@
         .collect()
     }
 
-    /// Returns whether the two distributions differ by more than noise, over all sets.
+    /// Returns whether the two distributions differ by more than the sampling error explains,
+    /// over all sets.
     fn has_shifted(&self) -> bool {
         let slow = self.slow.weights.chunks(self.experts);
         let pairs = slow.zip(self.fast.weights.chunks(self.experts));
-        let (mut distance, mut noise, mut sets) = (0.0, 0.0, 0.0);
+        let (mut distance, mut error, mut sets) = (0.0, 0.0, 0.0);
         for (slow, fast) in pairs {
             let (slow_total, fast_total) = (slow.iter().sum::<f64>(), fast.iter().sum::<f64>());
             if fast_total < MIN_SELECTIONS * FAST_DECAY_S || slow_total <= 0.0 {
@@ -126,9 +131,9 @@
             for (slow, fast) in slow.iter().zip(fast) {
                 let part = slow / slow_total;
                 distance += (part - fast / fast_total).abs();
-                noise += (part / fast_total).sqrt();
+                error += (part / fast_total).sqrt();
             }
         }
-        sets > 0.0 && distance > MIN_SHIFT_DISTANCE * sets + NOISE_FACTOR * noise
+        sets > 0.0 && distance > MIN_SHIFT_DISTANCE * sets + SAMPLING_ERROR_FACTOR * error
     }
 }
--- a/crates/mastweir-core/src/member/members.rs
+++ b/crates/mastweir-core/src/member/members.rs
@@ -1,4 +1,4 @@
-//! The members known to an instance, with their states.
+//! The members known to an entry instance, with their states.
 
 use super::{Member, MemberState};
 use crate::{id::Incarnation, time::Uptime};
@@ -9,11 +9,12 @@
 /// Timeouts of members.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Silence after which an alive member becomes suspect and a leaving one is removed.
+    /// Time since its last heartbeat after which an alive member becomes suspect, and a leaving
+    /// one is removed.
     pub suspect_after: Duration,
-    /// Silence after which a suspect member is removed.
+    /// Time since its last heartbeat after which a suspect member is removed.
     pub remove_after: Duration,
-    /// Time between two ticks from which this process counts as having been suspended.
+    /// If more time passes between two ticks, this process counts as having been suspended.
     pub pause_gap: Duration,
 }
 
@@ -38,7 +39,7 @@
     pub leaving: bool,
 }
 
-/// The members known to an instance.
+/// The members known to an entry instance.
 #[derive(Clone, Debug)]
 pub struct Members {
     states: BTreeMap<String, MemberState>,
@@ -61,20 +62,20 @@
         }
     }
 
-    /// Marks a member as leaving, as the platform's instance list has it.
+    /// Marks a member as leaving, as the platform's instance list states.
     pub fn leave(&mut self, name: &str) {
         if let Some(state) = self.states.get_mut(name) {
             *state = state.leave();
         }
     }
 
-    /// Applies the timeouts at `now`. After a suspension of this process all members get a new
-    /// term instead, since their heartbeats may have been missed.
+    /// Applies the timeouts at `now`. After a suspension of this process the timeouts of all
+    /// members start anew instead, since their heartbeats may have been missed.
     pub fn tick(&mut self, now: Uptime) {
         let paused = now.since(self.last_tick) > self.timing.pause_gap;
         self.last_tick = now;
         if paused {
-            self.states.values_mut().for_each(|state| renew(state, now));
+            self.states.values_mut().for_each(|state| restart_timeout(state, now));
             return;
         }
         for state in self.states.values_mut() {
@@ -97,7 +98,8 @@
         alive.map(|(name, _)| name.as_str())
     }
 
-    /// Chooses up to `count` members at random to relay in the next heartbeat.
+    /// Returns the last heartbeats of up to `count` members, chosen at random, to relay them in
+    /// this instance's next heartbeat.
     pub fn sample(&self, count: usize, rng: &mut impl Rng) -> Vec<Heartbeat> {
         let is_member =
             |(_, state): &(&String, &MemberState)| !matches!(state, MemberState::Removed(_));
@@ -111,7 +113,7 @@
     }
 }
 
-fn renew(state: &mut MemberState, now: Uptime) {
+fn restart_timeout(state: &mut MemberState, now: Uptime) {
     match state {
         MemberState::Alive(member) => member.last_seen = now,
         MemberState::Suspect(member) => member.last_seen = now,
--- a/crates/mastweir-core/src/member/mod.rs
+++ b/crates/mastweir-core/src/member/mod.rs
@@ -8,7 +8,7 @@
 //! incarnation.
 //!
 //! After a suspension of its process an instance finds all others silent; [`Members::tick`] then
-//! renews their terms.
+//! starts their timeouts anew.
 
 mod members;
 mod state;
--- a/crates/mastweir-core/src/member/state.rs
+++ b/crates/mastweir-core/src/member/state.rs
@@ -1,12 +1,15 @@
-//! States of a member and the transitions between them.
+//! States of a member of the entry instances' membership, and the transitions between them.
 //!
 //! ```text
-//!  Alive <--heartbeat-- Suspect
-//!    |   ---silence-->     |
-//!    |                     | long silence
-//!    |                     +------------> Removed
-//!    +--leaves (also from Suspect)--> Leaving --silence--> Removed
+//!  Alive <------heartbeat------ Suspect
+//!    |   ---`suspect_after`-->     |
+//!    |                             | `remove_after`
+//!    |                             +----------------> Removed
+//!    +--leaves (also from Suspect)--> Leaving --`suspect_after`--> Removed
 //! ```
+//!
+//! The timeouts ([`Timing`](super::Timing)) run from the last heartbeat. From any state, a
+//! heartbeat of a newer incarnation (a later start of the process) leads to Alive.
 
 use crate::{id::Incarnation, time::Uptime};
 
@@ -18,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect;
 
-/// State of a member that is leaving, by its own heartbeat or the instance list.
+/// State of a member that is leaving, as its heartbeat or the platform's instance list states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leaving;
 
-/// Final state of an incarnation.
+/// Final state of an incarnation. Only a newer incarnation makes the member alive again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Removed;
 
@@ -46,6 +49,7 @@
         self.with(Leaving)
     }
 
+    /// Records a heartbeat. Returns false if its number is not higher than the last one.
     fn record(&mut self, beat: u64, now: Uptime) -> bool {
         if beat <= self.beat {
             return false;
@@ -112,8 +116,9 @@
         }
     }
 
-    /// Processes a heartbeat, received directly or relayed. Only higher numbers count. A newer
-    /// incarnation replaces the member; an older one is ignored.
+    /// Processes a heartbeat, received directly or relayed. A heartbeat of a newer incarnation
+    /// replaces the member. One of an older incarnation, or whose number is not higher than the
+    /// last one, is ignored.
     #[must_use]
     pub fn on_heartbeat(self, incarnation: Incarnation, beat: u64, now: Uptime) -> Self {
         if incarnation > self.incarnation() {
--- a/crates/mastweir-core/src/table/csv.rs
+++ b/crates/mastweir-core/src/table/csv.rs
@@ -1,11 +1,12 @@
 //! Customers' rows as CSV: one line per customer, with a fixed header.
 //!
-//! A file with one invalid line is rejected as a whole. The error names the line, the
-//! column and the valid values.
+//! A file with one invalid line is rejected as a whole. The error states the line and what is
+//! wrong there.
 
 use super::{Customer, Row, RowError};
 use std::{fmt::Write, str::FromStr};
 
+/// The customer's name, and the fields of [`Customer`].
 const COLUMNS: [&str; 8] =
     ["name", "weight", "inflight", "units_s", "burst", "queue", "largest", "key_hash"];
 
@@ -49,7 +50,7 @@
     },
 }
 
-/// Reads customers from the lines of a CSV file, already split into cells.
+/// Reads customers from the lines of a CSV file, each as its cells.
 ///
 /// # Errors
 ///
@@ -75,7 +76,7 @@
 pub fn customers_to_csv<'a>(rows: impl Iterator<Item = (&'a str, &'a Customer)>) -> String {
     let mut text = COLUMNS.join(",") + "\n";
     for (name, c) in rows {
-        // Names and hashes need no quoting, and writing to a string can't fail.
+        // Names and hashes contain no comma or quote, and writing to a string can't fail.
         let _ = writeln!(
             text,
             "{name},{},{},{},{},{},{},{}",
--- a/crates/mastweir-core/src/table/merge.rs
+++ b/crates/mastweir-core/src/table/merge.rs
@@ -1,13 +1,15 @@
-//! Merges rows from lists, watches and peers so that no version reverts.
+//! Merges rows from lists, watches and peers so that no row goes back to an older version.
 //!
-//! Changes up to `complete` are all known, so that a row of such a version is either held
-//! already or was replaced or deleted.
+//! Runs in entry instances. A table knows all changes up to its version [`Table::complete`].
+//! An arriving row of such a version is therefore ignored: the table has it already, or knows
+//! that it was replaced or deleted. Peers compare their versions ([`Digest`]) and exchange
+//! the changes after one of them ([`Delta`]).
 
 use super::{Row, RowKey};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 
-/// Tombstones above which the oldest are pruned.
+/// Maximum number of tombstones (records of deleted rows); at more, the oldest are pruned.
 const TOMBSTONES_MAX: usize = 4_096;
 
 /// Summary of a table that peers compare.
@@ -23,7 +25,7 @@
     pub key: RowKey,
     /// Resource version of the object.
     pub version: u64,
-    /// `None` if the row was deleted or can't be read.
+    /// `None` if the row was deleted.
     pub row: Option<Row>,
 }
 
@@ -32,7 +34,7 @@
 pub struct Delta {
     /// Changes up to this version are left out. 0 if this is the whole table.
     pub after: u64,
-    /// Version up to which no change is missing.
+    /// Changes from `after` up to this version are complete.
     pub upto: u64,
     pub rows: Vec<VersionedRow>,
 }
@@ -56,7 +58,8 @@
 pub struct Table {
     rows: BTreeMap<RowKey, VersionedRow>,
     complete: u64,
-    /// Deltas after older versions are not possible, as tombstones are missing.
+    /// A peer whose complete version is lower needs the whole table, since this one lacks some
+    /// tombstones up to this version.
     delta_floor: u64,
 }
 
@@ -87,7 +90,8 @@
 
     /// Applies one event of a watch. Returns true if it is newer than the row held.
     ///
-    /// A watch delivers events in order of versions, so no earlier change is missing.
+    /// The watch must not start above [`Self::complete`]. It delivers all later events in order
+    /// of versions, so no change up to the event's version is missing.
     pub fn apply_event(&mut self, stored: VersionedRow) -> bool {
         let version = stored.version;
         let newer = self.insert_newer(stored);
@@ -95,8 +99,8 @@
         newer
     }
 
-    /// Applies a delta. Returns false if changes are missing between the table and the
-    /// delta.
+    /// Applies a delta. Returns false, and changes nothing, if the delta begins after this
+    /// table's complete version.
     pub fn merge(&mut self, delta: &Delta) -> bool {
         if delta.after > self.complete {
             return false;
@@ -114,7 +118,7 @@
         true
     }
 
-    /// Returns the changes that the holder of `digest` lacks; without rows if none.
+    /// Returns the changes that the peer with `digest` lacks, without rows if it lacks none.
     pub fn delta_since(&self, digest: Digest) -> Delta {
         let after = if digest.complete < self.delta_floor { 0 } else { digest.complete };
         let newer = self.rows.values().filter(|stored| stored.version > after);
@@ -124,8 +128,8 @@
     }
 
     fn insert_newer(&mut self, stored: VersionedRow) -> bool {
-        // Changes up to `complete` are known, so a row of such a version was replaced or
-        // deleted since, even if its tombstone is pruned.
+        // A row that is not held, of a version up to `complete`, was replaced or deleted, even
+        // if its tombstone is pruned.
         let held = self.version(&stored.key);
         if stored.version <= self.complete.max(held.unwrap_or(0)) {
             return false;
--- a/crates/mastweir-core/src/table/row.rs
+++ b/crates/mastweir-core/src/table/row.rs
@@ -1,7 +1,8 @@
 //! The kinds of rows, and their validation.
 //!
 //! Operators edit rows as JSON or CSV, and the platform stores them as JSON, so field names
-//! are part of the stored format.
+//! are part of the stored format. Costs and rates are in service units, each of about one
+//! generated model token ([`Cost`]).
 
 use crate::share::Cost;
 use serde::{Deserialize, Serialize};
@@ -13,7 +14,8 @@
 /// Length of a key's hash, in hexadecimal digits.
 const KEY_HASH_LEN: usize = 64;
 
-/// A customer's share and limits; all limits are fleet-wide.
+/// A customer's share and limits. `largest` applies to each request, the other limits to the
+/// whole fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
@@ -23,7 +25,7 @@
     pub inflight: u32,
     /// Maximum number of service units per second.
     pub units_s: u32,
-    /// Service units that a burst may use in addition.
+    /// Service units that may be used at once, in addition to `units_s`.
     pub burst: u32,
     /// Maximum number of waiting requests.
     pub queue: u32,
@@ -48,7 +50,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Service {
     pub kind: ServiceKind,
-    /// Whether requests may be sent more than once.
+    /// Whether requests are idempotent, so that they may be sent more than once.
     pub repeatable: bool,
     /// Whether streams can be resumed on another server.
     pub resumable: bool,
@@ -94,7 +96,8 @@
     }
 }
 
-/// Kind and name of a row. As text, it is the name of the row's object.
+/// Kind and name of a row. Its text form `KIND.NAME` is the name of the row's object in the
+/// platform's object API.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
     pub kind: RowKind,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Validates the row under its name.
+    /// Validates the row and its name.
     ///
     /// # Errors
     ///
