--- a/crates/mastweir-core/src/route/health.rs
+++ b/crates/mastweir-core/src/route/health.rs
@@ -1,18 +1,24 @@
 //! Outlier ejection of servers by the results of an entry instance's own calls.
 //!
-//! A server is ejected after consecutive failures, or when a call on it stops
-//! making progress, for a time that doubles with each ejection. Then it is on
-//! trial: it gets one call at a time until some have succeeded. Reports of agents
-//! do not count here: they do not show whether the engine makes progress.
+//! An entry instance receives callers' requests and calls the agents of servers; an
+//! agent queues requests for the engine beside it. A server is ejected after
+//! consecutive failures, or when a call on it stops making progress, for a time that
+//! doubles with each ejection. Then it is on trial until some calls have succeeded;
+//! [`ServerView`](super::ServerView) sees to it that it gets one call at a time.
+//! Reports of agents do not count here: they do not show whether the engine makes
+//! progress.
 //!
-//! Gateways exclude servers by other signals, see [`crate::gateway`].
+//! Gateways, which forward requests to servers unchanged, exclude servers by other
+//! signals, see [`crate::gateway`].
 
 use crate::time::Uptime;
 use std::time::Duration;
 
 /// Consecutive failures that eject a server.
 const FAILURES_MAX: u32 = 3;
+/// Time of the first ejection.
 const EJECT_BASE: Duration = Duration::from_secs(2);
+/// Bounds the time of an ejection to 32 s.
 const EJECT_DOUBLINGS_MAX: u32 = 4;
 /// Successful calls that end a trial.
 const TRIAL_CALLS: u32 = 3;
@@ -30,9 +36,13 @@
 /// Health of a server, by this entry's calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
+    /// Consecutive failures.
     failures: u32,
+    /// Exponent of the next ejection's time. Rises with each ejection and falls with each
+    /// passed trial.
     ejections: u32,
     ejected_until: Option<Uptime>,
+    /// Successful calls that the trial still needs; zero if the server is not on trial.
     trial_calls: u32,
 }
 
@@ -56,7 +66,7 @@
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the server is on trial at `now`, and gets one call at a time.
+    /// Whether the server is on trial at `now`. It must not get a second call at the same time.
     pub fn is_trial(&self, now: Uptime) -> bool {
         self.trial_calls > 0 && !self.is_ejected(now)
     }
--- a/crates/mastweir-core/src/route/mod.rs
+++ b/crates/mastweir-core/src/route/mod.rs
@@ -1,11 +1,11 @@
-//! Choice of a server for a request, in entry instances.
+//! Choice of a server for a request, in entry instances ("entries").
 //!
 //! Load reports are some seconds old, and all entries receive the same reports,
 //! so choosing the least loaded server would send all requests to it. The choice
 //! therefore considers:
 //!
-//! - a random sample of the servers, weighted by load interpretation: the older
-//!   the reports, the less they count;
+//! - a random sample of the servers, weighted by their load: the older a server's
+//!   report, the less it counts;
 //! - the entry's own requests since a server's last report;
 //! - the prompt's prefix: its affinity targets on a [`HashRing`], the same for all
 //!   entries, are always candidates. A target is chosen as long as its prefix cache
--- a/crates/mastweir-core/src/route/policy.rs
+++ b/crates/mastweir-core/src/route/policy.rs
@@ -7,9 +7,9 @@
 pub struct Policy {
     /// Servers that are sampled at random as candidates.
     pub samples: usize,
-    /// Servers that a prefix has an affinity to.
+    /// Number of affinity targets of a prefix.
     pub affinity_targets: usize,
-    /// Age at which a report counts half, against the mean of all servers.
+    /// Age at which a server's report and the mean of all servers count half each.
     pub half_life: Duration,
     /// Expected wait in the own hall above which other halls are considered.
     pub spill_wait: Duration,
--- a/crates/mastweir-core/src/route/router.rs
+++ b/crates/mastweir-core/src/route/router.rs
@@ -1,11 +1,13 @@
 //! Chooses a server for each request, among the servers of one service.
 //!
-//! Runs in entry instances. Agents queue requests and report their work, so the
-//! choice goes by expected wait and by prefix affinity. Without affinity, the
-//! sampled servers are served in weighted order: each request moves a server's
-//! due time on by its cost over the server's rate and weight, and the server
-//! that is due first is chosen. A server with less work than the mean has a
-//! higher weight.
+//! Runs in entry instances, which receive the callers' requests. Agents, one beside
+//! each server, queue requests and report their work, so the choice goes by
+//! expected wait and by prefix affinity. Without affinity, the sampled servers
+//! take turns by weight, as in weighted fair queueing: each request moves its
+//! server's due time forward by the cost of the request over the server's rate and
+//! weight, and the server with the lowest due time is chosen. A server with less
+//! work than the mean has a higher weight. Costs are in service units
+//! ([`Cost`](crate::share::Cost)).
 //!
 //! Gateways choose by other criteria, see [`Fleet`](crate::gateway::Fleet).
 
@@ -32,7 +34,8 @@
 pub struct Candidate {
     /// Index of the server.
     pub index: usize,
-    /// Expected time to the first token less the time that a cached prefix saves, in seconds.
+    /// Expected time in the queue, one step of the engine and the delay to another hall, less
+    /// the time that a cached prefix saves, in seconds. May be negative.
     pub wait: f64,
     /// Work at the server by its last report and this entry's requests since, in seconds.
     pub work: f64,
@@ -63,7 +66,7 @@
 pub struct Choice {
     /// Index of the chosen server.
     pub index: usize,
-    /// Expected time to the first token, in seconds.
+    /// Expected wait, see [`Candidate::wait`].
     pub wait: f64,
     pub reason: Reason,
     pub candidates: Vec<Candidate>,
@@ -78,7 +81,7 @@
     policy: Policy,
     /// Smoothed mean of the reported work of all servers, in seconds.
     mean_work: f64,
-    /// Highest due time at which a server got a request of this entry, in seconds of work.
+    /// Highest due time that a server had when it was sent a request, in seconds of work.
     virtual_time: f64,
     /// Interval at which servers send reports.
     report_interval: Duration,
@@ -139,8 +142,8 @@
         self.mean_work += (work - self.mean_work) / (self.servers.len().max(4) as f64);
     }
 
-    /// Records a request sent to a server, and moves the server's due time on by the cost of
-    /// the request over the server's rate and weight.
+    /// Records a request sent to a server, and moves the server's due time forward by the cost
+    /// of the request over the server's rate and weight.
     pub fn on_sent(&mut self, index: usize, cost: u32, now: Uptime) {
         let weight = self.weight(index, now).max(WEIGHT_MIN);
         let Some(server) = self.servers.get_mut(index) else { return };
@@ -148,7 +151,7 @@
         server.in_flight += 1;
         let rate = server.report.as_ref().map_or(1, |(load, _)| load.rate.max(1));
         let step = f64::from(cost) / f64::from(rate) / weight;
-        // A server that was unavailable does not catch up on the requests it missed.
+        // A server that was unavailable does not get all requests until it has caught up.
         self.virtual_time = self.virtual_time.max(server.due_at);
         server.due_at = server.due_at.max(self.virtual_time - LAG_MAX_S) + step;
     }
@@ -162,7 +165,7 @@
         server.in_flight = server.in_flight.saturating_sub(1);
         match signal {
             Some(Signal::Success) => server.health.record(Signal::Success, now),
-            // With many servers ejected at once, the fault is likely at this entry.
+            // With many servers ejected at once, the fault is probably on this entry's side.
             Some(signal) if may_eject => server.health.record(signal, now),
             _ => false,
         }
@@ -249,14 +252,16 @@
         let rate = f64::from(load.rate.max(1));
         let own = server.sent_units as f64 / rate;
         let work = reported_work(load) + own;
-        let trust = 0.5_f64.powf(age / self.policy.half_life.as_secs_f64());
-        let likely = trust * work + (1.0 - trust) * self.mean_work.max(work.min(self.mean_work));
+        // As the report ages, the estimate moves from its work to the mean.
+        let recency = 0.5_f64.powf(age / self.policy.half_life.as_secs_f64());
+        let estimate =
+            recency * work + (1.0 - recency) * self.mean_work.max(work.min(self.mean_work));
         // Work in excess of the slots waits.
         let full = FULL_RATIO * self.saturation_work(index);
-        let queued = (likely - full).max(0.0);
+        let queued = (estimate - full).max(0.0);
         // The prompt runs in one slot, at that slot's part of the rate.
-        let slot = f64::from(load.slots.max(1)) / rate;
-        let saved = if is_affinity { f64::from(request.saved_units) * slot } else { 0.0 };
+        let unit_s = f64::from(load.slots.max(1)) / rate;
+        let saved = if is_affinity { f64::from(request.saved_units) * unit_s } else { 0.0 };
         let step = f64::from(load.step_us) / 1e6;
         let away = if server.own_hall { 0.0 } else { self.policy.remote_delay.as_secs_f64() };
         let weight = self.weight(index, now);
@@ -266,9 +271,9 @@
     /// Returns the weight of a server relative to an even distribution, from 0 to
     /// [`WEIGHT_MAX`].
     ///
-    /// The difference of the server's work to the mean is to be balanced by the requests that
-    /// arrive within the age of its report plus [`BALANCE_TIME_S`]. An older report thus
-    /// gives a weight closer to 1.
+    /// The weight is such that the requests of a period make up for the difference of the
+    /// server's work from the mean. The period is the age of the server's report plus
+    /// [`BALANCE_TIME_S`], so an older report gives a weight closer to 1.
     fn weight(&self, index: usize, now: Uptime) -> f64 {
         let Some((load, at)) = &self.servers[index].report else { return 0.0 };
         let age = now.since(*at).as_secs_f64();
@@ -279,15 +284,15 @@
     /// Decides whether an affinity target may get a request out of turn.
     ///
     /// All entries send a popular prefix to the same targets. The probability therefore falls
-    /// with the target's work, and a target that is ahead of its due time, or may be saturated
-    /// since its last report, is rejected.
+    /// with the target's work. A target whose due time is ahead of virtual time, or whose slots
+    /// may be in use since its last report, is rejected.
     fn accepts_affinity(&self, target: &Candidate, rng: &mut impl Rng) -> bool {
         let ahead = self.servers[target.index].due_at - self.virtual_time;
         let part =
             (target.weight - AFFINITY_WEIGHT_MIN) / (AFFINITY_WEIGHT_FULL - AFFINITY_WEIGHT_MIN);
-        let roomy = target.work + AFFINITY_ARRIVAL_RATE * target.age
+        let has_room = target.work + AFFINITY_ARRIVAL_RATE * target.age
             <= AFFINITY_FULL_RATIO * self.saturation_work(target.index);
-        roomy && ahead <= AFFINITY_AHEAD_MAX_S && rng.random_range(0.0..1.0) < part
+        has_room && ahead <= AFFINITY_AHEAD_MAX_S && rng.random_range(0.0..1.0) < part
     }
 
     /// Returns the work that fills all slots of a server, in seconds.
@@ -296,12 +301,12 @@
         load.map_or(0.0, |load| work_per_request(load) * f64::from(load.slots.max(1)))
     }
 
-    /// Returns the candidate that is due first, of those with a sufficient weight; if there is
-    /// none, the one with the highest weight.
+    /// Returns the candidate with the lowest due time, of those with a sufficient weight; if
+    /// there is none, the one with the highest weight.
     fn due_first<'a>(&self, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
         let due = |candidate: &Candidate| self.servers[candidate.index].due_at;
-        let getting = candidates.iter().filter(|candidate| candidate.weight >= WEIGHT_MIN);
-        let first = getting.min_by(|a, b| due(a).total_cmp(&due(b)));
+        let eligible = candidates.iter().filter(|candidate| candidate.weight >= WEIGHT_MIN);
+        let first = eligible.min_by(|a, b| due(a).total_cmp(&due(b)));
         first.or_else(|| candidates.iter().max_by(|a, b| a.weight.total_cmp(&b.weight)))
     }
 
@@ -332,7 +337,7 @@
         if total == 0 {
             return Vec::new();
         }
-        // A random start keeps entries from choosing servers in the same order.
+        // A random start, so that entries do not all choose servers in the same order.
         let offset = rng.random_range(0..total);
         let scan = (0..total).map(|i| (i + offset) % total).filter(fits);
         if total <= SCAN_MAX {
@@ -379,20 +384,23 @@
 const FULL_RATIO: f64 = 0.9;
 /// Expected work that arrives at a server, in seconds of work a second.
 const ARRIVAL_RATE: f64 = 0.9;
-/// Time after a report over which a difference in work is balanced, in seconds.
+/// Time in which a difference in work is to be balanced, besides the report's age, in seconds.
 const BALANCE_TIME_S: f64 = 6.0;
 const WEIGHT_MAX: f64 = 2.0;
 const WEIGHT_MIN: f64 = 0.1;
-/// Weights at which no request, and every request, may go to an affinity target out of turn.
+/// Weight up to which an affinity target gets no request out of turn.
 const AFFINITY_WEIGHT_MIN: f64 = 1.0;
+/// Weight from which an affinity target may get every request out of turn.
 const AFFINITY_WEIGHT_FULL: f64 = 1.05;
-/// Part of an affinity target's slots that may be in use.
+/// Part of an affinity target's slots that may be in use if it gets a request out of turn.
 const AFFINITY_FULL_RATIO: f64 = 0.85;
 /// Work that may have arrived at an affinity target since its report, in seconds a second.
 const AFFINITY_ARRIVAL_RATE: f64 = 0.3;
-/// Maximum work by which an affinity target may be ahead of virtual time, in seconds.
+/// Maximum by which an affinity target's due time may be ahead of virtual time, in seconds of
+/// work.
 const AFFINITY_AHEAD_MAX_S: f64 = 0.08;
-/// Maximum work by which a server's due time lags behind virtual time, in seconds.
+/// Maximum by which a server's due time may lag behind virtual time, in seconds of work. Bounds
+/// the work on which it catches up.
 const LAG_MAX_S: f64 = 1.0;
 
 /// Returns the reported work of a server, queued and running, in seconds.
--- a/crates/mastweir-core/src/route/server_view.rs
+++ b/crates/mastweir-core/src/route/server_view.rs
@@ -1,4 +1,7 @@
 //! State of one server as an entry instance sees it.
+//!
+//! The agent beside the server reports its load. The entry adds what it knows of its own
+//! requests; the [`Router`](super::Router) chooses servers by both.
 
 use super::Health;
 use crate::{id::Incarnation, time::Uptime, wire::Load};
@@ -13,14 +16,16 @@
     pub own_hall: bool,
     /// Last report and the time of its arrival.
     pub report: Option<(Load, Uptime)>,
-    /// Cost of this entry's requests sent since the last report, in units.
+    /// Cost of this entry's requests sent since the last report, in service units.
     pub sent_units: u64,
-    /// Virtual time at which the server is due for a request of this entry, in seconds of work.
+    /// When the server is due for a request of this entry, in the router's virtual time, which
+    /// counts seconds of work.
     pub due_at: f64,
     /// This entry's requests that have not ended.
     pub in_flight: u32,
     pub health: Health,
-    /// Whether the instance list or an operator marks the server as leaving.
+    /// Whether the instance list or an operator marks the server as leaving. Its report may
+    /// state that, too.
     pub leaving: bool,
 }
 
@@ -44,11 +49,12 @@
         self.report.as_ref().map(|(load, _)| load.incarnation)
     }
 
-    /// Whether the server may be chosen, with a report no older than `max_age`.
+    /// Whether the server may be chosen: its report is not older than `max_age`, it is not
+    /// leaving, and if it is on trial, it has no call.
     pub(super) fn is_available(&self, now: Uptime, max_age: Duration) -> bool {
         let Some((load, at)) = &self.report else { return false };
         let silent = now.since(*at) > max_age;
-        let busy_trial = self.health.is_trial(now) && self.in_flight > 0;
-        !self.leaving && !load.leaving && !silent && !busy_trial
+        let has_trial_call = self.health.is_trial(now) && self.in_flight > 0;
+        !self.leaving && !load.leaving && !silent && !has_trial_call
     }
 }
--- a/crates/mastweir-core/src/share/admission.rs
+++ b/crates/mastweir-core/src/share/admission.rs
@@ -4,17 +4,19 @@
 //! there, so a customer with one request at each of many servers would be next
 //! at all of them. Entry instances therefore reject the part of a customer's
 //! requests that exceeds its share, in the manner of core-stateless fair
-//! queueing (Stoica, Shenker and Zhang, 1998): of a customer that offers
-//! `offered` units a second fleet-wide, the part `fill_level * weight / offered`
-//! is admitted. The fill level is the common rate per weight.
+//! queueing (Stoica, Shenker and Zhang, 1998).
 //!
-//! The offered load of all customers comes from the exchange of [`Usage`] and is
-//! a few seconds old. The fill level is the weighted max-min level of the
-//! offered load against what the fleet delivers, multiplied by a factor that
-//! follows the present wait at the servers: above 1 while requests wait less
-//! than [`TARGET_WAIT_S`], below 1 while they wait longer. While requests hardly
-//! wait at all, the factor grows until nothing is rejected, so idle capacity
-//! can be used by anyone.
+//! The fill level is the rate, in units a second per weight, up to which customers
+//! are served: of a customer that offers `offered` units a second fleet-wide, the
+//! part `fill_level * weight / offered` is admitted. It is computed from the load
+//! that customers offer, which comes from the exchange of [`Usage`] and is a few
+//! seconds old, as the level at which the admitted load is what the fleet delivers
+//! (weighted max-min fairness).
+//!
+//! The level is multiplied by a factor that follows the present wait at the
+//! servers: above 1 while requests wait less than [`TARGET_WAIT_S`], below 1 while
+//! they wait longer. While requests hardly wait at all, the factor grows until
+//! nothing is rejected, so idle capacity can be used by anyone.
 //!
 //! [`Usage`]: super::Usage
 
@@ -25,21 +27,23 @@
 pub const TARGET_WAIT_S: f64 = 1.0;
 /// Part of [`TARGET_WAIT_S`] below which the servers count as idle.
 const IDLE_WAIT_RATIO: f64 = 0.25;
-/// Change of the factor for each relative error of the wait.
+/// Proportional gain: change of the factor per relative deviation of the wait from its target.
 const FACTOR_GAIN: f64 = 0.5;
 const FACTOR_MAX: f64 = 1.5;
 const FACTOR_MIN: f64 = 0.2;
-/// Lower bound of the factor where servers' queues have space for all customers.
+/// Lower bound of the factor, also above [`FACTOR_MAX`], where servers' queues have space for
+/// all customers: their fair order then suffices, except for a large excess.
 const FACTOR_MIN_LONG_QUEUES: f64 = 8.0;
 /// Growth of the factor with each observation of idle servers.
 const FACTOR_STEP: f64 = 1.3;
-/// Factor from which nothing is rejected: an idle fleet delivers less than its capacity.
+/// Factor from which nothing is rejected. Far above 1, since an idle fleet delivers much less
+/// than its capacity.
 const FACTOR_UNLIMITED: f64 = 20.0;
 /// Weight of the newest reading in a customer's smoothed rate.
 const RATE_SMOOTHING: f64 = 0.5;
 /// Weight of the newest reading in the smoothed rates of the fleet.
 const FLEET_SMOOTHING: f64 = 0.3;
-/// Seconds without a row after which a customer is forgotten.
+/// Seconds without a usage row after which a customer is forgotten.
 const FLOW_EXPIRY_S: f64 = 60.0;
 /// Maximum credit of a customer, in requests.
 const CREDIT_MAX_REQUESTS: f64 = 2.0;
@@ -50,9 +54,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedLoad {
     pub customer: CustomerTag,
-    /// Units since the customer's previous row.
+    /// Units since the customer's previous usage row.
     pub units: f64,
-    /// Weight from the customer's row of the table.
+    /// Weight from the configuration table.
     pub weight: f64,
 }
 
@@ -68,7 +72,7 @@
     weight: f64,
     /// Offered units a second.
     rate: f64,
-    /// Time of the last row, in seconds.
+    /// Time of the last usage row, in seconds.
     updated: f64,
 }
 
@@ -78,9 +82,10 @@
     flows: HashMap<CustomerTag, Flow>,
     /// Units a second that the fleet delivers.
     delivered: f64,
-    /// Units a second that all customers offer, including those without a row.
+    /// Units a second that all customers offer, including those without a usage row.
     offered: f64,
-    /// Units a second per weight; `None` while the fleet delivers all that is offered.
+    /// Before the factor, in units a second per weight; `None` while the fleet delivers all that
+    /// is offered.
     fill_level: Option<f64>,
     /// Factor on the fill level that follows the wait at the servers.
     wait_factor: f64,
@@ -135,12 +140,13 @@
         (fair / flow.rate.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
-    /// Returns the units a second that a customer offers fleet-wide, by its recent rows.
+    /// Returns the units a second that a customer offers fleet-wide, by its recent usage rows.
     pub fn rate(&self, customer: CustomerTag) -> Option<f64> {
         self.flows.get(&customer).map(|flow| flow.rate)
     }
 
-    /// Returns the units a second per weight, or `None` while nothing is rejected.
+    /// Returns the fill level times the factor, in units a second per weight, or `None` while
+    /// nothing is rejected.
     pub fn fill_level(&self) -> Option<f64> {
         self.fill_level
             .filter(|_| self.wait_factor < FACTOR_UNLIMITED)
@@ -164,17 +170,17 @@
     /// Adjusts the factor on the fill level to the present wait at the servers, in
     /// seconds, and to the number of requests that a server's queue can hold.
     ///
-    /// Where a queue can hold requests of every customer, it decides better than
-    /// admission control, which then rejects only a large excess.
+    /// Where a queue can hold requests of every customer, its fair order decides which are
+    /// served, by present load, and admission control rejects only a large excess.
     pub fn observe(&mut self, wait: f64, queue_slots: f64) {
-        let each = (queue_slots / self.flows.len().max(1) as f64).min(1.0);
-        let least = FACTOR_MIN + (FACTOR_MIN_LONG_QUEUES - FACTOR_MIN) * each;
+        let covered = (queue_slots / self.flows.len().max(1) as f64).min(1.0);
+        let least = FACTOR_MIN + (FACTOR_MIN_LONG_QUEUES - FACTOR_MIN) * covered;
         let error = (TARGET_WAIT_S - wait) / TARGET_WAIT_S;
         let factor = (1.0 + FACTOR_GAIN * error).clamp(least, FACTOR_MAX.max(least));
         let is_idle = wait < IDLE_WAIT_RATIO * TARGET_WAIT_S;
         // Grows in steps: an immediate change would fill all queues at once.
-        let opened = (self.wait_factor * FACTOR_STEP).clamp(factor, FACTOR_UNLIMITED);
-        self.wait_factor = if is_idle { opened } else { factor };
+        let raised = (self.wait_factor * FACTOR_STEP).clamp(factor, FACTOR_UNLIMITED);
+        self.wait_factor = if is_idle { raised } else { factor };
     }
 
     fn update_flow(&mut self, row: &OfferedLoad, now: f64, period: f64) {
@@ -186,13 +192,13 @@
         flow.updated = now;
     }
 
-    /// Returns the level at which weighted max-min shares add up to the delivered rate, or
-    /// `None` if no customer exceeds it.
+    /// Returns the fill level at which weighted max-min shares add up to the delivered rate, or
+    /// `None` if the delivered rate covers all that is offered.
     fn max_min_level(&self) -> Option<f64> {
         let key = |flow: &Flow| flow.rate / flow.weight.max(WEIGHT_MIN);
         let mut flows: Vec<&Flow> = self.flows.values().collect();
         flows.sort_by(|a, b| key(a).total_cmp(&key(b)));
-        // Customers without a row yet offer little each and are admitted in full.
+        // Customers without a usage row yet offer little each and are admitted in full.
         let known: f64 = flows.iter().map(|flow| flow.rate).sum();
         let mut left = self.delivered - (self.offered - known).max(0.0);
         let mut weights: f64 = flows.iter().map(|flow| flow.weight.max(WEIGHT_MIN)).sum();
--- a/crates/mastweir-core/src/share/mod.rs
+++ b/crates/mastweir-core/src/share/mod.rs
@@ -1,13 +1,15 @@
 //! Weighted shares of the fleet among customers.
 //!
-//! A share counts service received, in units ([`Cost`]), not requests:
+//! Customers' requests arrive at entry instances ("entries") and run at servers, each with an
+//! agent beside it. A share counts service received, in units ([`Cost`]), not requests:
 //!
 //! - every agent keeps a [`FairQueue`] in front of its server, so the entry
 //!   instance through which a request arrives does not matter, and idle capacity
 //!   is usable at once;
 //! - a queue is fair only among the customers at its server, so entries add up the
-//!   load that customers offer fleet-wide ([`Usage`], along a [`UsageTree`] of
-//!   entries) and reject what exceeds a customer's share ([`AdmissionControl`]);
+//!   load that customers offer fleet-wide, i.e. the cost of the requests that they send
+//!   ([`Usage`], along a [`UsageTree`] of entries), and reject what exceeds a customer's
+//!   share ([`AdmissionControl`]);
 //! - limits on requests in flight and on rates are split over the entries that a
 //!   customer uses ([`LimitShare`]).
 //!
@@ -68,7 +70,7 @@
     }
 }
 
-/// Load that one customer offered since its previous row.
+/// Load that one customer offered since its previous row in a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageRow {
     pub customer: CustomerTag,
@@ -79,7 +81,8 @@
 /// Load that customers offered, added up over some entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Whether this is the sum over the whole fleet, which goes down the tree.
+    /// Whether this is the sum over the whole fleet, which leaders send to their children in
+    /// the tree.
     pub total: bool,
     /// Time until the next exchange, chosen by the hall's leader.
     pub period_ms: u32,
--- a/crates/mastweir-core/src/share/queue.rs
+++ b/crates/mastweir-core/src/share/queue.rs
@@ -4,16 +4,19 @@
 //! customer has a start tag, the virtual time up to which it has been served. The
 //! customer's next request has a due tag: the start tag plus cost over weight.
 //! The request with the lowest due tag is served next, and virtual time advances
-//! to that tag. A customer that was idle restarts at the current virtual time at
-//! the earliest, so it saves up no credit, but keeps its debt. When the actual cost
-//! of a request is known, the start tag is corrected ([`FairQueue::settle`]).
+//! to that tag. The start tag of a customer that was idle is raised to the current
+//! virtual time if it is lower, so it saves up no credit, but keeps its debt. When
+//! the actual cost of a request is known, the start tag is corrected
+//! ([`FairQueue::settle`]).
 //!
-//! The order goes by due tags, not start tags: by start tags, a customer with one
+//! Requests are ordered by due tags, not start tags: the start tag of a customer
+//! that was idle is the current virtual time, so by start tags a customer with one
 //! request at each of many servers would be next at all of them, whatever its
 //! weight.
 //!
 //! The class of a request orders the requests of the same customer only;
-//! otherwise a customer could exceed its share by a better class.
+//! otherwise a customer could exceed its share by using a lower class number, which
+//! is served first.
 
 use crate::time::Uptime;
 use std::{
@@ -26,14 +29,15 @@
 /// Value of [`QueuedRequest::weight`] that stands for a weight of 1.
 const WEIGHT_ONE: u128 = 1_000;
 const VIRTUAL_SCALE: u128 = 1_000;
-/// Maximum work that waits at a server, in seconds.
+/// Maximum work that waits at a server, in seconds of its rate; for
+/// [`FairQueue::set_backlog_limit`].
 pub const WAIT_MAX_S: f64 = 4.0;
 
 /// A request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedRequest<C, T> {
     pub customer: C,
-    /// Effective weight, in thousandths; at least 1.
+    /// Weight of the customer, in thousandths; at least 1.
     pub weight: u32,
     /// Class among the customer's own requests; class 0 is served first.
     pub class: u8,
@@ -50,8 +54,8 @@
     Queued,
     /// The request was added, and the given one was evicted for it.
     Evicted(T),
-    /// The request was rejected: the queue is full, and no other customer is further
-    /// over its share.
+    /// The request was rejected: the queue is full, and no request can be evicted for it, see
+    /// [`FairQueue::enqueue`].
     Full(T),
 }
 
@@ -63,7 +67,7 @@
     due: VirtualTime,
     /// Estimated cost of the queued requests, in units.
     units: u64,
-    /// Newest effective weight; applies to requests that are already queued as well.
+    /// Weight of the customer's newest request; applies to all of its queued requests.
     weight: u32,
     /// Sorted by class, then by arrival.
     waiting: VecDeque<QueuedRequest<C, T>>,
@@ -144,7 +148,7 @@
 
     /// Adds a request. A full queue evicts the last request of the customer that is
     /// furthest over its share. If that is the customer of the new request, the new
-    /// request is rejected unless its class is better.
+    /// request is rejected unless its class number is lower than that of the last request.
     pub fn enqueue(&mut self, new: QueuedRequest<C, T>) -> EnqueueResult<T> {
         if self.len < self.len_limit && self.backlog < self.backlog_limit {
             self.push(new);
@@ -246,28 +250,28 @@
         self.order.insert((flow.due, customer));
     }
 
-    /// Returns the customer whose request is evicted for `newcomer`: the one whose last
-    /// request would start last. `None` if the newcomer is to be rejected.
+    /// Returns the customer whose last request is evicted for `newcomer`: the customer whose
+    /// last request has the highest start tag. `None` if the newcomer is to be rejected.
     ///
     /// The start counts, not the end: a single long request does not put its customer
     /// over its share.
     fn victim(&self, newcomer: &QueuedRequest<C, T>) -> Option<C> {
         let last = |flow: &Flow<C, T>| {
-            let own = flow.waiting.back().map_or(0, |request| u64::from(request.cost));
-            flow.start.max(self.now) + normalized(flow.units - own, flow.weight)
+            let cost = flow.waiting.back().map_or(0, |request| u64::from(request.cost));
+            flow.start.max(self.now) + normalized(flow.units - cost, flow.weight)
         };
         let waiting = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
         let (worst, victim) = waiting.map(|(customer, flow)| (last(flow), *customer)).max()?;
         let after =
             |flow: &Flow<C, T>| flow.start.max(self.now) + normalized(flow.units, flow.weight);
-        let own = self.flows.get(&newcomer.customer).map_or(self.now, after);
+        let start = self.flows.get(&newcomer.customer).map_or(self.now, after);
         if victim == newcomer.customer {
-            // Within a customer, a request of a better class replaces one of a worse class.
+            // Within a customer, a request replaces one with a higher class number.
             let flow = self.flows.get(&victim)?;
-            let lowest = flow.waiting.back()?.class;
-            return (newcomer.class < lowest).then_some(victim);
+            let last_class = flow.waiting.back()?.class;
+            return (newcomer.class < last_class).then_some(victim);
         }
-        (own < worst).then_some(victim)
+        (start < worst).then_some(victim)
     }
 
     fn evict(&mut self, victim: C) -> Option<QueuedRequest<C, T>> {
@@ -280,6 +284,8 @@
         Some(request)
     }
 
+    /// Settles a request of a customer without a flow. A cost below the estimate is ignored,
+    /// since idle customers keep no credit.
     fn settle_absent(&mut self, customer: C, weight: u32, estimate: u32, actual: u32) {
         if actual <= estimate {
             return;
--- a/crates/mastweir-core/src/share/tree.rs
+++ b/crates/mastweir-core/src/share/tree.rs
@@ -1,20 +1,25 @@
-//! Aggregation tree along which entry instances add up customers' usage.
+//! Aggregation tree along which entry instances add up the load that customers offer.
 //!
-//! The entries of a hall form groups of at most [`UsageTree::GROUP_MAX`]. A member
-//! sends its rows to the leader of its group, group leaders to the leader of the
-//! hall, and hall leaders to each other; the total comes back the same way. The
-//! roles follow from the sorted names of the live entries, without an election.
-//! While entries differ in which others they consider live, some rows are counted
-//! in a later period.
+//! Each entry instance ("entry") counts the load that customers offer through it, in one
+//! [`UsageRow`](super::UsageRow) per customer. Once per period the rows are added up: the
+//! entries of a hall form groups of at most [`UsageTree::GROUP_MAX`]; a member sends its rows
+//! to the leader of its group, group leaders to the leader of the hall, and hall leaders to
+//! each other. The fleet-wide total comes back the same way.
+//!
+//! There is no election. Each entry sorts the names of the live entries of its hall and cuts
+//! the list into groups; the first of each group is its leader, and the first of the hall is
+//! the hall leader. While entries differ in which others they consider live, some rows are
+//! counted in a later period.
 
 /// Role of an entry in the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TreeRole {
     /// Sends its rows to the leader of its group.
     Member,
-    /// Adds up the rows of a group.
+    /// Adds up the rows of its group.
     Leader,
-    /// Adds up the rows of a hall and exchanges them with other halls.
+    /// Adds up the rows of its own group and of the hall's other leaders, and exchanges the
+    /// sum with other halls.
     HallLeader,
 }
 
@@ -22,9 +27,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageTree {
     pub role: TreeRole,
-    /// Receiver of this entry's sum; `None` for a hall leader.
+    /// Entry to which this entry sends its sum; `None` for a hall leader.
     pub parent: Option<String>,
-    /// Receivers of the fleet-wide total.
+    /// Entries to which this entry sends the fleet-wide total.
     pub children: Vec<String>,
     /// Leaders of the other halls; empty unless this entry is a hall leader.
     pub peers: Vec<String>,
@@ -34,7 +39,8 @@
     /// Maximum entries of a group.
     pub const GROUP_MAX: usize = 8;
 
-    /// Returns the tree as seen by entry `own`, from `(hall, entry)` of all live entries.
+    /// Returns the tree as seen by entry `own`, from `(hall, entry)` of all live entries, which
+    /// should include `own`.
     pub fn of(own: &str, entries: &[(&str, &str)]) -> Self {
         let mut sorted = entries.to_vec();
         sorted.sort_unstable();
