--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -1,9 +1,14 @@
 //! State machine of one call at an entry instance, without I/O.
 //!
-//! The caller of this module owns sockets and timers. It passes in each
-//! [`Event`] and carries out the [`Action`] that is returned. The
-//! [`RetryPolicy`] decides what may follow a failed attempt. Every call ends
-//! with exactly one [`Action::Finish`].
+//! A call is one submission of a request by a caller. The entry instance sends it
+//! as an order to the agent beside a server, in one or more attempts. A call that
+//! must not be repeated names [`Fence`]s, each one incarnation (start) of an agent:
+//! only there may the operation run.
+//!
+//! The owner of a [`Call`] has the sockets and timers. It passes in each [`Event`]
+//! and carries out the [`Action`] that is returned. The [`RetryPolicy`] decides
+//! what may follow a failed attempt. Every call ends with exactly one
+//! [`Action::Finish`].
 
 use super::{Answering, Attempt, Connecting, Evidence, Outcome, Refusal, Sent};
 use crate::{id::Fence, route::RetryBudget};
@@ -26,8 +31,8 @@
     /// The call runs at most once, at the given agents only and in their order.
     AtMostOnce {
         fences: Vec<Fence>,
-        /// Whether no other call submits the operation. A connection that never
-        /// opened then proves that the operation did not run there.
+        /// Whether this call is the only one that submits the operation. A connection
+        /// that never opened then proves that the operation did not run at the agent.
         exclusive: bool,
     },
 }
@@ -109,7 +114,8 @@
 /// let mut call = Call::new(policy);
 /// assert!(matches!(call.start(), Action::Connect { .. }));
 /// assert_eq!(call.handle(Event::Connected, &mut budget), Action::Wait);
-/// // Lost after sending: retry at the same agent, which joins the run or replays the answer.
+/// // Lost after sending: retry at the same agent, which continues the answer of the run in
+/// // progress or replays it.
 /// assert!(matches!(call.handle(Event::Lost, &mut budget), Action::Connect { .. }));
 /// // The deadline passes during the retry: whether the operation ran is unknown.
 /// let end = call.handle(Event::Deadline, &mut budget);
@@ -236,19 +242,21 @@
     }
 
     fn on_refused(&mut self, why: Refusal, evidence: Evidence, budget: &mut RetryBudget) -> Action {
-        let elsewhere = why.is_local();
+        let is_local = why.is_local();
         match &self.policy {
-            RetryPolicy::Repeatable { .. } if elsewhere => self.reroute(evidence, budget),
+            RetryPolicy::Repeatable { .. } if is_local => self.reroute(evidence, budget),
             RetryPolicy::Repeatable { .. } => self.give_up(Some(evidence)),
             RetryPolicy::AtMostOnce { exclusive, .. } => {
+                // With no other call and no lost attempt, the agent can't have admitted the
+                // operation before.
                 let never_admitted = *exclusive && !self.connection_lost;
                 if !why.is_tombstone() && !never_admitted {
                     self.may_have_run = true;
                     return self.give_up(Some(evidence));
                 }
-                // Another submission may be trying the fences of a shared operation,
-                // which is refused for good only with tombstones at all of them.
-                let try_next = !*exclusive || (elsewhere && budget.withdraw());
+                // Another call of an operation that is not exclusive may be trying its other
+                // fences, so "not run" needs tombstones at all of them.
+                let try_next = !*exclusive || (is_local && budget.withdraw());
                 if try_next { self.next_fence(evidence) } else { self.give_up(Some(evidence)) }
             }
         }
@@ -287,8 +295,8 @@
         true
     }
 
-    /// Retries at the same agent, whose deduplication table joins the run, replays the
-    /// answer or runs the operation.
+    /// Retries at the same agent. By its deduplication table the agent runs the operation only
+    /// if it did not before, else it sends the answer of that run.
     fn retry_fence(&mut self, evidence: Evidence, budget: &mut RetryBudget) -> Action {
         if self.fence_attempts >= ATTEMPTS_MAX || !budget.withdraw() {
             self.may_have_run = true;
@@ -326,8 +334,8 @@
 
     fn stop(&mut self, phase: &Phase) -> Action {
         let sent = matches!(phase, Phase::Sent(_) | Phase::Answering(_));
-        // Another submission of a shared operation may have run it at the current
-        // fence, or at one that this call has not tried.
+        // Another call of an operation that is not exclusive may have run it at the
+        // current fence, or at one that this call has not tried.
         let shared = matches!(self.policy, RetryPolicy::AtMostOnce { exclusive: false, .. });
         let maybe = self.may_have_run || sent || self.connection_lost || shared;
         let outcome = if maybe { Outcome::Unknown } else { Outcome::NotRun };
--- a/crates/mastweir-core/src/outcome/dedup.rs
+++ b/crates/mastweir-core/src/outcome/dedup.rs
@@ -1,14 +1,18 @@
 //! An agent's deduplication table for operations that must not be repeated.
 //!
-//! For each order the table decides whether the agent runs it, joins the run in
-//! progress, replays the kept answer or refuses. A refusal is kept as a
-//! tombstone, so that a late copy of the order is refused as well.
+//! An agent runs beside a server. Entry instances send it orders, each to run one
+//! operation; copies of an order may arrive, since attempts are retried and callers
+//! submit an operation again. For each order the table decides whether the agent
+//! runs the operation, sends the answer of the run in progress or of the ended one,
+//! or refuses. An operation that is cancelled before it reaches the engine, or
+//! sealed before it is admitted, leaves a tombstone, so that a late order is refused.
 //!
 //! The table is in memory only. Two rules make it safe to lose or drop records.
 //! An order names the incarnation of the agent it is for, and any other
-//! incarnation refuses it. An order also carries its expiry on the clock of
-//! that agent, which entry instances compute from the uptime in the agent's
-//! reports. The agent refuses an expired order, so its record can be dropped.
+//! incarnation refuses it. An order also carries its expiry, as an uptime of that
+//! agent; entry instances compute it from the uptime in the agent's reports. The
+//! agent refuses an order after its expiry, so the operation's record can then be
+//! dropped.
 
 use super::Refusal;
 use crate::{
@@ -37,6 +41,7 @@
     Run,
     /// The operation was admitted before; its answer is read from this handle.
     Join(A),
+    /// Refuse the order. The operation may have run before, see [`Refusal`].
     Refuse(Refusal),
 }
 
@@ -78,7 +83,11 @@
 enum State<A> {
     Queued(A),
     Running(A),
-    Ended { answer: Option<A>, size: usize },
+    /// The answer is complete; `None` if it was too large to keep.
+    Ended {
+        answer: Option<A>,
+        size: usize,
+    },
     Incomplete,
     Tombstone(Refusal),
 }
@@ -144,7 +153,8 @@
         self.kept_bytes
     }
 
-    /// Decides on an order. After [`Verdict::Run`] the answer is written to `answer`.
+    /// Decides on an order. After [`Verdict::Run`] the agent writes the operation's answer to
+    /// `answer`, the handle that later orders get.
     pub fn admit(&mut self, order: &Order, now: Uptime, answer: A) -> Verdict<A> {
         self.expire(now);
         if let Some(refusal) = self.check_order(order, now) {
@@ -169,7 +179,8 @@
         true
     }
 
-    /// Refuses an operation for good. Returns false if it has started.
+    /// Turns a queued operation into a tombstone. Returns false if it has started, or is not
+    /// known.
     pub fn cancel(&mut self, op: OpId, why: Refusal) -> bool {
         let Some(record) = self.records.get_mut(&op) else { return false };
         match record.state {
@@ -209,8 +220,8 @@
         }
     }
 
-    /// Adds a tombstone for an operation that was not admitted yet, and returns what is
-    /// known of it.
+    /// Seals an operation: unless it was admitted before, adds a tombstone, so that it never
+    /// runs here. Returns what is known of it.
     pub fn seal(&mut self, order: &Order, now: Uptime) -> SealResult {
         self.expire(now);
         if self.check_order(order, now).is_some() {
--- a/crates/mastweir-core/src/outcome/mod.rs
+++ b/crates/mastweir-core/src/outcome/mod.rs
@@ -4,12 +4,14 @@
 //! promises that the request will not run later, so it needs [`Evidence`] that no
 //! attempt can run any more.
 //!
-//! A call that must not be repeated is bound to an ordered list of [`Fence`]s,
-//! each of which names one incarnation of one agent. The agent's [`DedupTable`]
-//! runs an operation at most once and keeps a refusal as a tombstone. The next
-//! fence is tried only with a tombstone of the previous one. The caller carries
-//! the list in a [`Ticket`], or the platform's store holds it under the caller's
-//! idempotency key. Entry instances keep no state of the operation.
+//! Entry instances receive the requests and send them as orders to agents, one
+//! beside each server. A call that must not be repeated is bound to an ordered list
+//! of [`Fence`]s, each of which names one incarnation (start) of one agent. The
+//! agent's [`DedupTable`] lets an operation run at most once. If the agent refuses
+//! an operation for good, it keeps a tombstone. The next fence is tried only with a
+//! tombstone of the previous one. The caller carries the list in a [`Ticket`], or
+//! the platform's store holds it under the caller's idempotency key. Entry instances
+//! keep no state of the operation.
 //! `docs/design/outcomes.md` compares this design with others.
 //!
 //! [`Call`] runs in entry instances, [`DedupTable`] in agents. Both are state
@@ -75,7 +77,7 @@
     Expired,
     /// The deduplication table is full.
     TableFull,
-    /// The operation ran, but its answer is not kept.
+    /// The operation ran, but its answer was too large to keep.
     AnswerEvicted,
     /// The operation started but did not end with a complete answer.
     Incomplete,
--- a/crates/mastweir-core/src/outcome/ticket.rs
+++ b/crates/mastweir-core/src/outcome/ticket.rs
@@ -1,10 +1,12 @@
 //! Tickets, which bind a caller's operation to an ordered list of fences.
 //!
-//! A fence is one incarnation of one agent. Any entry instance of any hall
-//! issues and accepts tickets. The entry tries the fences in order, and the next
-//! one only with a tombstone of the previous one. All state of the operation is
-//! in the ticket and at the agents, so a crash of an entry, a network partition
-//! or an outage of the platform loses none.
+//! A fence is one incarnation (start) of one agent, the process beside a server that
+//! queues and runs operations. A caller sends its ticket as the idempotency key of a request to
+//! an entry instance; any entry instance of any hall issues and accepts tickets. The
+//! entry tries the fences in order, and the next one only with a tombstone of the
+//! previous one, an agent's record that the operation will never run there. All
+//! state of the operation is in the ticket and at the agents, so none is lost in a
+//! crash of an entry, a network partition or an outage of the platform.
 //!
 //! A ticket is text: `mw1.` and, in lower-case hexadecimal, a `postcard` message
 //! followed by its truncated keyed hash. It is valid for one customer and
@@ -22,7 +24,7 @@
 /// Maximum hexadecimal characters of a ticket; bounds untrusted input.
 const TEXT_MAX: usize = 1_024;
 
-/// An agent at which an operation may run.
+/// A fence at which an operation may run, and until when.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
     pub fence: Fence,
