--- a/crates/mastweir-core/src/gateway/admission.rs
+++ b/crates/mastweir-core/src/gateway/admission.rs
@@ -6,8 +6,8 @@
 //! stream is admitted; the choice among a few random servers decides where it goes.
 //!
 //! Between [`ADMIT_ALL_LOAD`] and [`ADMIT_NONE_LOAD`] a falling fraction of streams is
-//! admitted, which keeps gateways from admitting and refusing in step. The random draw of a
-//! request is fixed, so waiting does not change its chance.
+//! admitted, so that gateways do not all switch between admitting and refusing at once. The
+//! random draw of a request is fixed, so waiting does not change its chance.
 //!
 //! First attempts are preferred to retries: only they can still meet their objective, and
 //! admitting retries first would only make others retry.
--- a/crates/mastweir-core/src/gateway/deferral.rs
+++ b/crates/mastweir-core/src/gateway/deferral.rs
@@ -1,8 +1,9 @@
 //! Deferral of new streams while passes are slow, in a gateway.
 //!
-//! After a shift of demand, passes take longer until the expert map has followed. Each new
-//! stream makes them longer still, and all running streams may miss their gap objective. A
-//! new stream can wait as long as its first event still meets the route's objective.
+//! When the demand for experts shifts, passes of a rank group take longer until its expert map
+//! is changed. Each new stream makes passes longer still, and all running streams may miss
+//! their gap objective. A new stream can wait as long as its first event still meets the
+//! route's objective.
 
 use std::time::Duration;
 
--- a/crates/mastweir-core/src/gateway/event_splitter.rs
+++ b/crates/mastweir-core/src/gateway/event_splitter.rs
@@ -27,11 +27,11 @@
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_end(&self.partial, searched) else { return Vec::new() };
         let rest = self.partial.split_off(end);
-        let whole = mem::replace(&mut self.partial, rest);
-        if let Some(id) = last_id(&whole) {
+        let complete = mem::replace(&mut self.partial, rest);
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
     /// Returns the id of the last complete event.
--- a/crates/mastweir-core/src/gateway/listeners.rs
+++ b/crates/mastweir-core/src/gateway/listeners.rs
@@ -20,10 +20,10 @@
 
     /// Removes and returns the listeners that timed out.
     pub fn expire(&mut self, now: Uptime) -> Vec<IpAddr> {
-        let gone = |at: &Uptime| now.since(*at) >= LISTENER_TIMEOUT;
-        let lost = self.0.iter().filter(|(_, at)| gone(at)).map(|(ip, _)| *ip).collect();
-        self.0.retain(|_, at| !gone(at));
-        lost
+        let is_expired = |at: &Uptime| now.since(*at) >= LISTENER_TIMEOUT;
+        let expired = self.0.iter().filter(|(_, at)| is_expired(at)).map(|(ip, _)| *ip).collect();
+        self.0.retain(|_, at| !is_expired(at));
+        expired
     }
 
     /// Returns the listeners, the one with the latest announcement first.
--- a/crates/mastweir-core/src/gateway/peers.rs
+++ b/crates/mastweir-core/src/gateway/peers.rs
@@ -11,7 +11,7 @@
 //! not answer, and sends hellos to the first ones. A gateway that ranks itself among the first
 //! is a relay. A gateway that is cut off from all others becomes a relay, too.
 //!
-//! Hellos name other gateways. A gateway that was received from directly counts as alive for a
+//! Hellos name other gateways. A gateway whose own hello was received counts as alive for a
 //! while. A gateway that was only named gets hellos, but is not named to others; otherwise
 //! dead gateways would be named forever.
 
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PeerState {
     pub leaving: bool,
-    /// Whether it wants the messages that relays forward.
+    /// Whether the gateway wants the messages that relays forward.
     pub is_follower: bool,
     /// Live gateways of its hall, including itself.
     pub hall_size: u32,
@@ -138,7 +138,7 @@
         let ip = info.ip;
         if state.is_follower || state.leaving {
             // A gateway that is leaving still serves. Without further reports it would
-            // consider all servers lost, and break off its last streams.
+            // consider all servers lost, and abort its last streams.
             self.followers.insert(ip, now);
             self.remote_claims.remove(&ip);
             self.local_claims.remove(&ip);
@@ -260,7 +260,7 @@
 
     /// Returns the relays of the other halls, and the gateways there that still consider
     /// themselves relays. Without further reports, such a gateway would consider all servers
-    /// of other halls lost, and break off its streams there.
+    /// of other halls lost, and abort its streams there.
     pub fn remote_relays(&self, now: Uptime) -> Vec<IpAddr> {
         let halls = self.halls();
         let remote = halls.iter().filter(|hall| **hall != self.own.hall);
--- a/crates/mastweir-core/src/gateway/retry_policy.rs
+++ b/crates/mastweir-core/src/gateway/retry_policy.rs
@@ -59,19 +59,21 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// Returns what to do after an attempt.
-pub fn next_action(step: AttemptState, answer: AttemptResult) -> NextAction {
-    let not_run = matches!(answer, AttemptResult::NotRun(_));
-    let safe = not_run || step.repeatable;
-    if safe && step.attempts_left > 0 && step.time_left > MIN_TIME_LEFT {
+pub fn next_action(state: AttemptState, result: AttemptResult) -> NextAction {
+    let not_run = matches!(result, AttemptResult::NotRun(_));
+    let safe = not_run || state.repeatable;
+    if safe && state.attempts_left > 0 && state.time_left > MIN_TIME_LEFT {
         return NextAction::Retry;
     }
-    final_action(step, answer)
+    final_action(state, result)
 }
 
 /// Returns the final answer of a request that is not retried.
-pub fn final_action(step: AttemptState, answer: AttemptResult) -> NextAction {
-    match answer {
-        AttemptResult::NotRun(_) if step.repeatable || !step.may_have_run => NextAction::EndNotRun,
+pub fn final_action(state: AttemptState, result: AttemptResult) -> NextAction {
+    match result {
+        AttemptResult::NotRun(_) if state.repeatable || !state.may_have_run => {
+            NextAction::EndNotRun
+        }
         AttemptResult::NotRun(_) | AttemptResult::Broken => NextAction::EndUnknown,
         AttemptResult::Failed => NextAction::Forward,
     }
--- a/crates/mastweir-core/src/gateway/status.rs
+++ b/crates/mastweir-core/src/gateway/status.rs
@@ -10,10 +10,10 @@
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(700);
 /// Greatest age of a report that is used: four missing reports.
 pub(super) const REPORT_VALIDITY: Duration = Duration::from_millis(1_000);
-/// Silence of a sidecar after which the server is assumed to have none.
+/// Silence of a sidecar after which the server is assumed to have no sidecar.
 const SILENT_UNTIL: Duration = Duration::from_secs(10);
 /// The same for a sidecar that never reported to this gateway while most others of the service
-/// do. A gateway that has just started can't tell whether it ever did.
+/// do. A gateway that has just started can't tell whether such a server has a sidecar.
 const UNREPORTED_UNTIL: Duration = Duration::from_secs(4);
 /// Time for which a server is avoided after repeated failures or a failed connection; each
 /// further failed connection doubles it.
@@ -59,9 +59,9 @@
     pub(super) listed_at: Option<Uptime>,
     /// Requests of this gateway at the server.
     pub(super) in_flight: u32,
-    /// When requests were sent that the last report can't include.
+    /// When requests were sent after the last report, which does not count them.
     pub(super) sent: Vec<Uptime>,
-    /// When requests ended that the last report still includes.
+    /// When requests ended after the last report, which still counts them.
     pub(super) ended: Vec<Uptime>,
     /// Last report, and when it was made.
     pub(super) report: Option<(Uptime, LoadReport)>,
@@ -158,8 +158,8 @@
     /// Whether opening a connection failed recently.
     pub(super) fn is_unconnectable(&self, now: Uptime) -> bool {
         let Some(doubled) = self.connect_failures.checked_sub(1) else { return false };
-        let lasts = BACKOFF * 2_u32.pow(doubled.min(8));
-        now.since(self.last_failure) < lasts.min(BACKOFF_MAX)
+        let backoff = BACKOFF * 2_u32.pow(doubled.min(8));
+        now.since(self.last_failure) < backoff.min(BACKOFF_MAX)
     }
 
     /// Returns when the server will count as silent without a further report.
--- a/crates/mastweir-core/src/gateway/stream_timing.rs
+++ b/crates/mastweir-core/src/gateway/stream_timing.rs
@@ -37,10 +37,10 @@
             self.first = Some(now);
             return false;
         }
-        let pause = now.since(before);
-        let is_longest = pause > self.longest_gap;
+        let gap = now.since(before);
+        let is_longest = gap > self.longest_gap;
         if is_longest {
-            (self.longest_gap, self.longest_gap_at) = (pause, now);
+            (self.longest_gap, self.longest_gap_at) = (gap, now);
         }
         is_longest
     }
--- a/crates/mastweir-core/src/switch/coordinator.rs
+++ b/crates/mastweir-core/src/switch/coordinator.rs
@@ -1,4 +1,5 @@
-//! The coordinator's side of a map change, for one group and one epoch.
+//! The coordinator's side of a map change, for one group and one epoch. Each sidecar that takes the
+//! group's [`Lease`](super::Lease) coordinates the group in an epoch of its own.
 //!
 //! A state machine without I/O: [`Coordinator::orders`] returns the orders to send now, including
 //! those that lack a reply, and [`Coordinator::on_reply`] takes the replies. A change needs all
@@ -104,7 +105,7 @@
             }
             Progress::SettingBarrier { .. } => {
                 // Some ranks may have the barrier. It can only be removed by a grant, which
-                // needs a barrier at all of them; sealing starts over with that.
+                // needs a barrier at all ranks. After sealing, the coordinator sets one.
                 self.enter(Progress::Sealing);
                 true
             }
--- a/crates/mastweir-core/src/switch/lease.rs
+++ b/crates/mastweir-core/src/switch/lease.rs
@@ -1,10 +1,10 @@
 //! A lease in the platform's object store, with an epoch that increases with each new holder.
 //!
 //! Expiry is measured on the holder's own monotonic clock, from before the request that renewed
-//! the lease was sent. Clocks are never compared: another process takes the lease over only after
-//! it has seen the record unchanged for the whole term on its own clock. A holder that may have
-//! been suspended checks [`Lease::is_held`] before each order; ranks reject by its epoch what is
-//! sent too late all the same.
+//! the lease was sent. Clocks of different processes are never compared: another process takes the
+//! lease over only after it has seen the record unchanged for the whole term on its own clock. A
+//! holder that may have been suspended checks [`Lease::is_held`] before each order. If an order is
+//! sent too late nevertheless, ranks refuse it because of its old epoch.
 
 use crate::{id::Fence, time::Uptime};
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,9 @@
 pub struct Lease {
     own: Fence,
     term: Duration,
+    /// The record as last read, and when it was first read so.
     observed: Option<(LeaseRecord, Uptime)>,
+    /// Epoch in which this process holds the lease, and until when.
     held: Option<(u64, Uptime)>,
 }
 
--- a/crates/mastweir-core/src/switch/loss.rs
+++ b/crates/mastweir-core/src/switch/loss.rs
@@ -19,13 +19,14 @@
 /// Time for orders to all ranks without retries: two round trips through sidecars in other
 /// halls.
 const ORDERS_TIME: Duration = Duration::from_millis(40);
-/// Fraction of a pass. Orders that take less mostly fit into the rest of the current pass, and
-/// waiting for another long pass would cost more than a short stall.
+/// Fraction of a pass that orders may take if the group is paused before the next pass. They
+/// mostly fit into the rest of the current pass, and waiting for another long pass would cost more
+/// than a short stall.
 const PASS_SHARE_MAX: f64 = 0.25;
 /// Time for a retry: the timeout of the order and the wait for the next decision.
 const RETRY_TIME: Duration = Duration::from_millis(55);
-/// The current pass when a pause is ordered. If the next one has begun meanwhile, the rank
-/// refuses the order and the next decision names a later pass.
+/// Smallest lookahead: a pause before the pass that follows the last one begun. If that pass has
+/// begun meanwhile, the rank refuses the order and the next decision names a later pass.
 const PASSES_MIN: u64 = 1;
 /// Lower bound on the length of a pass; shorter ones are measured in idle groups.
 const PASS_MS_MIN: f64 = 20.0;
--- a/crates/mastweir-core/src/switch/rank.rs
+++ b/crates/mastweir-core/src/switch/rank.rs
@@ -1,5 +1,9 @@
-//! The rank's side of a map change: keeps grants and the barrier, and checks orders against them.
-//! It runs next to the engine's step loop.
+//! The rank's side of a map change. It runs next to the engine's step loop.
+//!
+//! Keeps the rank's grants ("from step F on, use map M") and its barrier, the first step that it
+//! has promised not to begin without a new grant. Checks a coordinator's orders against them, and
+//! refuses orders that are late, of an unsealed epoch or for another incarnation (start) of the
+//! rank.
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 use crate::id::Incarnation;
