--- a/tests/testsuite/connections.rs
+++ b/tests/testsuite/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept for the next call.
+//! The pool of idle connections.
 
 use bytes::Bytes;
 use eyre::Result;
@@ -15,12 +15,12 @@
 };
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// Long for an answer on loopback, also on a busy machine.
-const WAIT: Duration = Duration::from_secs(10);
-/// For a call that nothing answers.
-const WAIT_IN_VAIN: Duration = Duration::from_millis(100);
+/// Longer than any answer on loopback takes.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// For a call that gets no answer.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Answers the first call on a connection once as many have come, and nothing behind it.
+/// Answers the first call on a connection once the barrier opens, and no later call.
 async fn answer_once(mut stream: TcpStream, both: &Barrier) -> Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -28,7 +28,7 @@
     }
     both.wait().await;
     stream.write_all(ANSWER).await?;
-    // Reads on, so that the connection stays open.
+    // Keeps the connection open.
     tokio::io::copy(&mut stream, &mut tokio::io::sink()).await?;
     Ok(())
 }
@@ -39,16 +39,16 @@
     pool.call(addr, request, wait, 100).await.map(|called| called.status)
 }
 
-/// All idle connections died without a word. The first call that meets one is lost; the
-/// next must not meet another.
+/// All idle connections are dead without having been closed. One call may fail on one of them; the
+/// next call must not use another.
 #[googletest::test]
 #[tokio::test]
-async fn a_call_that_got_no_answer_ends_the_idle_connections_beside_it() -> Result<()> {
+async fn unanswered_call_closes_idle_connections() -> Result<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
     let local = LocalSet::new();
     local.spawn_local(async move {
-        // The first two wait for each other, so neither takes the other's connection.
+        // The first two calls wait for each other, so that each opens a connection.
         let both = std::rc::Rc::new(Barrier::new(2));
         let alone = std::rc::Rc::new(Barrier::new(1));
         for number in 0.. {
@@ -60,11 +60,11 @@
     local
         .run_until(async {
             let pool = Pool::default();
-            let (one, two) = tokio::join!(call(&pool, addr, WAIT), call(&pool, addr, WAIT));
+            let (one, two) = tokio::join!(call(&pool, addr, TIMEOUT), call(&pool, addr, TIMEOUT));
             expect_that!((one?, two?), eq((200, 200)));
-            let lost = call(&pool, addr, WAIT_IN_VAIN).await;
+            let lost = call(&pool, addr, SHORT_TIMEOUT).await;
             expect_that!(lost, err(matches_pattern!(CallError::Timeout(anything()))));
-            expect_that!(call(&pool, addr, WAIT).await?, eq(200));
+            expect_that!(call(&pool, addr, TIMEOUT).await?, eq(200));
             Ok(())
         })
         .await
--- a/tests/testsuite/gateway.rs
+++ b/tests/testsuite/gateway.rs
@@ -1,5 +1,5 @@
-//! Real gateways between callers and scripted servers: what reaches whom, and how
-//! each request ends.
+//! Gateways between callers and scripted servers: what is forwarded, to whom, and how each request
+//! ends.
 
 use eyre::Result;
 use googletest::prelude::*;
@@ -16,7 +16,7 @@
 };
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-/// A whole answer of a server.
+/// A complete answer of a server.
 pub fn answer(got: &Got, status: &str, body: &str) -> Act {
     let id = got.header("request-id").unwrap_or_default();
     Act::Send(
@@ -53,11 +53,11 @@
     Act::Send(b"0\r\n\r\n".to_vec())
 }
 
-/// What a server does for a request.
+/// Returns what a server does with a request.
 pub type Script = Box<dyn Fn(&Got) -> Vec<Act> + Send + Sync>;
 
-/// A site with one gateway, ready, before servers with these scripts.
-pub async fn site_of(scripts: Vec<Script>) -> Result<World> {
+/// Starts a gateway and a server for each script, and waits until the gateway is ready.
+pub async fn start_fixture(scripts: Vec<Script>) -> Result<TestFixture> {
     let site = Site::new(1)?;
     let mut servers = Vec::new();
     for (number, script) in scripts.into_iter().enumerate() {
@@ -72,37 +72,37 @@
     let (_, served) = site.door().await?;
     let gateway = site.gateway(0, served.addr)?;
     gateway.wait_ready().await?;
-    Ok(World { site, servers, gateway })
+    Ok(TestFixture { site, servers, gateway })
 }
 
-pub struct World {
+pub struct TestFixture {
     pub site: Site,
     pub servers: Vec<Scripted>,
     pub gateway: Running,
 }
 
-impl World {
+impl TestFixture {
     async fn call(&self, method: &str, path: &str, more: &str, body: &str) -> Result<site::Answer> {
         exchange(self.gateway.callers, &request(method, path, "r-1", more, body)).await
     }
 
-    /// Requests that all servers got together.
-    fn got(&self) -> usize {
+    /// Returns the number of requests that all servers received.
+    fn request_count(&self) -> usize {
         self.servers.iter().map(|server| server.got().len()).sum()
     }
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_passes_unchanged() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "whole")])]).await?;
+async fn requests_are_forwarded_unchanged() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "whole")])]).await?;
     let more = "Request-Deadline: 2000\r\nTenant: other\r\nX-Own: kept\r\n";
-    let reply = world.call("POST", "/once/a?b=c", more, "body").await?;
+    let reply = fixture.call("POST", "/once/a?b=c", more, "body").await?;
     expect_that!(reply.status, eq(200));
     expect_that!(reply.body, eq("whole"));
     expect_that!(reply.header("response-signature"), some(eq("sig")));
     expect_that!(reply.header("server-load"), none());
-    let got = world.servers[0].got();
+    let got = fixture.servers[0].got();
     expect_that!(got.len(), eq(1));
     let got = &got[0];
     expect_that!(got.head.lines().next(), some(eq("POST /once/a?b=c HTTP/1.1")));
@@ -119,7 +119,7 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_routes_and_keys_are_refused_only_from_knowledge() -> Result<()> {
+async fn unknown_routes_and_keys_are_refused_once_configured() -> Result<()> {
     let site = Site::new(1)?;
     let (_, served) = site.door().await?;
     let gateway = site.gateway(0, served.addr)?;
@@ -141,24 +141,24 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_to_another_request_reaches_nobody() -> Result<()> {
-    let world = site_of(vec![Box::new(|_| {
+async fn answer_with_another_request_id_is_dropped() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|_| {
         let bytes = "HTTP/1.1 200 OK\r\nRequest-Id: r-0\r\nResponse-Signature: sig\r\n\
                      Content-Length: 5\r\n\r\nwrong";
         vec![Act::Send(bytes.into())]
     })])
     .await?;
-    let reply = world.call("POST", "/once/a", "", "x").await?;
+    let reply = fixture.call("POST", "/once/a", "", "x").await?;
     expect_that!(reply.status, eq(502));
     expect_that!(reply.body, eq(""));
-    expect_that!(world.got(), eq(1));
+    expect_that!(fixture.request_count(), eq(1));
     Ok(())
 }
 
-/// Answers cut off at each place, and bytes that are none, never look whole.
+/// Truncated and malformed answers are never forwarded as complete.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_ends_a_call_that_may_run_once_as_unknown() -> Result<()> {
+async fn broken_answer_to_unsafe_request_ends_as_unknown() -> Result<()> {
     let cuts: [&[u8]; 4] = [
         b"",
         b"HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\n",
@@ -167,22 +167,22 @@
     ];
     for cut in cuts {
         let script = move |_: &Got| vec![Act::Send(cut.to_vec()), Act::Close];
-        let world = site_of(vec![Box::new(script), Box::new(script)]).await?;
-        let reply = world.call("POST", "/once/a", "", "x").await?;
+        let fixture = start_fixture(vec![Box::new(script), Box::new(script)]).await?;
+        let reply = fixture.call("POST", "/once/a", "", "x").await?;
         expect_that!(reply.status, eq(502));
-        expect_that!(world.got(), eq(1));
+        expect_that!(fixture.request_count(), eq(1));
     }
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_a_length_is_whole_only_if_its_end_was_no_reset() -> Result<()> {
+async fn unsized_answer_is_complete_unless_reset() -> Result<()> {
     let head = "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nResponse-Signature: s\r\n\r\nall of it";
     for (end, status) in [(Act::Close, 200), (Act::Reset, 502)] {
         let acts = vec![Act::Send(head.into()), Act::Wait(Duration::from_millis(50)), end];
-        let world = site_of(vec![Box::new(move |_| acts.clone())]).await?;
-        let reply = world.call("POST", "/once/a", "", "x").await?;
+        let fixture = start_fixture(vec![Box::new(move |_| acts.clone())]).await?;
+        let reply = fixture.call("POST", "/once/a", "", "x").await?;
         expect_that!(reply.status, eq(status));
     }
     Ok(())
@@ -190,7 +190,7 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_run_again_goes_to_another_server() -> Result<()> {
+async fn safe_request_is_retried_at_another_server() -> Result<()> {
     let calls = Arc::new(AtomicUsize::new(0));
     let script = || {
         let calls = calls.clone();
@@ -199,28 +199,29 @@
             _ => vec![answer(got, "200 OK", "second")],
         })
     };
-    let world = site_of(vec![script(), script()]).await?;
-    let reply = world.call("GET", "/safe/a", "", "").await?;
+    let fixture = start_fixture(vec![script(), script()]).await?;
+    let reply = fixture.call("GET", "/safe/a", "", "").await?;
     expect_that!((reply.status, reply.body.as_str()), eq((200, "second")));
-    let each: Vec<usize> = world.servers.iter().map(|server| server.got().len()).collect();
+    let each: Vec<usize> = fixture.servers.iter().map(|server| server.got().len()).collect();
     expect_that!(each, eq(&[1, 1]));
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_said_only_with_evidence() -> Result<()> {
-    // All servers say that they did not run it.
-    let world = site_of(vec![Box::new(|_| refusal()), Box::new(|_| refusal())]).await?;
-    let reply = world.call("POST", "/once/a", "", "x").await?;
+async fn not_run_is_claimed_only_with_proof() -> Result<()> {
+    // All servers state that they did not run the request.
+    let fixture = start_fixture(vec![Box::new(|_| refusal()), Box::new(|_| refusal())]).await?;
+    let reply = fixture.call("POST", "/once/a", "", "x").await?;
     expect_that!(reply.status, eq(503));
     expect_that!(reply.header("retry-after"), some(anything()));
     expect_that!(reply.header("not-executed"), none());
-    expect_that!(world.got(), eq(2));
-    // A server's own 503 says nothing of the kind, nor does its 429.
+    expect_that!(fixture.request_count(), eq(2));
+    // Statuses alone are no such statement.
     for status in ["503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"] {
-        let world = site_of(vec![Box::new(move |got| vec![answer(got, status, "")])]).await?;
-        let reply = world.call("POST", "/once/a", "", "x").await?;
+        let fixture =
+            start_fixture(vec![Box::new(move |got| vec![answer(got, status, "")])]).await?;
+        let reply = fixture.call("POST", "/once/a", "", "x").await?;
         expect_that!(reply.status, eq(502));
         expect_that!(reply.header("response-signature"), none());
     }
@@ -229,15 +230,15 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_listens_no_more_has_not_run_it() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
+async fn request_to_closed_port_is_retried() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
     let closed = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let gone = serde_json::json!({ "spec": { "service": "desk", "address": closed.to_string(),
         "zone": "hall-a", "slots": 8, "state": "ready" } });
-    world.site.platform.put("servers", "i-gone", gone);
+    fixture.site.platform.put("servers", "i-gone", gone);
     for number in 0..20 {
         let bytes = request("POST", "/once/a", &format!("r-{number}"), "", "x");
-        let reply = exchange(world.gateway.callers, &bytes).await?;
+        let reply = exchange(fixture.gateway.callers, &bytes).await?;
         expect_that!(reply.status, eq(200));
     }
     Ok(())
@@ -245,10 +246,10 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failure_is_passed_on_as_it_is() -> Result<()> {
+async fn server_failure_is_forwarded_unchanged() -> Result<()> {
     let script = |got: &Got| vec![answer(got, "500 Internal Server Error", "why")];
-    let world = site_of(vec![Box::new(script)]).await?;
-    let reply = world.call("POST", "/once/a", "", "x").await?;
+    let fixture = start_fixture(vec![Box::new(script)]).await?;
+    let reply = fixture.call("POST", "/once/a", "", "x").await?;
     expect_that!((reply.status, reply.body.as_str()), eq((500, "why")));
     expect_that!(reply.header("response-signature"), some(eq("sig")));
     Ok(())
@@ -256,7 +257,7 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_taken_up_behind_its_last_whole_event() -> Result<()> {
+async fn broken_stream_resumes_after_last_whole_event() -> Result<()> {
     let script = || {
         Box::new(|got: &Got| match got.header("last-event-id") {
             None => vec![
@@ -272,8 +273,8 @@
             Some(_) => vec![Act::Close],
         })
     };
-    let world = site_of(vec![script(), script()]).await?;
-    let reply = world.call("POST", "/stream/a", "", "x").await?;
+    let fixture = start_fixture(vec![script(), script()]).await?;
+    let reply = fixture.call("POST", "/stream/a", "", "x").await?;
     expect_that!(reply.whole, eq(true));
     insta::assert_snapshot!(reply.body, @"
     id: 1
@@ -288,16 +289,16 @@
     id: 4
     data: d
     ");
-    expect_that!(world.got(), eq(2));
+    expect_that!(fixture.request_count(), eq(2));
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_nobody_takes_up_does_not_look_complete() -> Result<()> {
+async fn unresumed_stream_is_incomplete_to_caller() -> Result<()> {
     let script = |got: &Got| vec![stream_head(got), chunk("id: 1\ndata: a\n\nid"), Act::Close];
-    let world = site_of(vec![Box::new(script)]).await?;
-    let reply = world.call("POST", "/stream/a", "", "x").await?;
+    let fixture = start_fixture(vec![Box::new(script)]).await?;
+    let reply = fixture.call("POST", "/stream/a", "", "x").await?;
     expect_that!(reply.whole, eq(false));
     expect_that!(reply.body, eq("id: 1\ndata: a\n\n"));
     Ok(())
@@ -305,71 +306,70 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_without_a_signature_is_nobodys() -> Result<()> {
+async fn unsigned_stream_is_rejected() -> Result<()> {
     let script = |got: &Got| {
         let id = got.header("request-id").unwrap_or_default();
         let head =
             format!("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n");
         vec![Act::Send(head.into_bytes()), chunk("id: 1\ndata: a\n\n"), last_chunk()]
     };
-    let world = site_of(vec![Box::new(script)]).await?;
-    let reply = world.call("POST", "/stream/a", "", "x").await?;
+    let fixture = start_fixture(vec![Box::new(script)]).await?;
+    let reply = fixture.call("POST", "/stream/a", "", "x").await?;
     expect_that!((reply.status, reply.body.as_str()), eq((502, "")));
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_leaves_ends_the_work_at_the_server() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| match got.header("x-begin") {
+async fn caller_disconnect_cancels_request_at_server() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|got| match got.header("x-begin") {
         Some(_) => vec![stream_head(got), chunk("id: 1\ndata: a\n\n"), Act::Hang],
         None => vec![Act::Hang],
     })])
     .await?;
     for (left, more) in [(1, ""), (2, "X-Begin: 1\r\n")] {
-        let mut caller = TcpStream::connect(world.gateway.callers).await?;
+        let mut caller = TcpStream::connect(fixture.gateway.callers).await?;
         caller.write_all(&request("POST", "/stream/a", "r-1", more, "x")).await?;
-        wait_for(async || world.got() == left).await?;
+        wait_for(async || fixture.request_count() == left).await?;
         drop(caller);
-        wait_for(async || world.servers[0].left() == left).await?;
+        wait_for(async || fixture.servers[0].left() == left).await?;
     }
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_ends_at_its_deadline() -> Result<()> {
-    let world = site_of(vec![Box::new(|_| vec![Act::Hang])]).await?;
-    let reply = world.call("POST", "/once/a", "Request-Deadline: 200\r\n", "x").await?;
+async fn request_ends_at_its_deadline() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|_| vec![Act::Hang])]).await?;
+    let reply = fixture.call("POST", "/once/a", "Request-Deadline: 200\r\n", "x").await?;
     expect_that!(reply.status, eq(504));
-    wait_for(async || world.servers[0].left() == 1).await?;
+    wait_for(async || fixture.servers[0].left() == 1).await?;
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_too_large_is_refused() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
-    let reply = world.call("POST", "/once/a", "", &"x".repeat(100_001)).await?;
+async fn oversized_body_is_refused() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
+    let reply = fixture.call("POST", "/once/a", "", &"x".repeat(100_001)).await?;
     expect_that!(reply.status, eq(413));
-    expect_that!(world.got(), eq(0));
+    expect_that!(fixture.request_count(), eq(0));
     Ok(())
 }
 
-/// A server that leaves gets nothing more; one whose address is another's neither.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_server_gets_nothing_more() -> Result<()> {
+async fn leaving_server_gets_no_requests() -> Result<()> {
     let script = |got: &Got| vec![answer(got, "200 OK", "")];
-    let world = site_of(vec![Box::new(script), Box::new(script)]).await?;
-    world.site.list("i-0", &world.servers[0], "draining");
+    let fixture = start_fixture(vec![Box::new(script), Box::new(script)]).await?;
+    fixture.site.list("i-0", &fixture.servers[0], "draining");
     let call = async |number: usize| {
         let bytes = request("POST", "/once/a", &format!("r-{number}"), "", "x");
-        exchange(world.gateway.callers, &bytes).await
+        exchange(fixture.gateway.callers, &bytes).await
     };
-    let to_leaving = || world.servers[0].got().len();
+    let to_leaving = || fixture.servers[0].got().len();
     let number = AtomicUsize::new(0);
-    // Once it is known, a run of calls passes it by.
+    // Waits for a run of calls that all go to the other server.
     wait_for(async || {
         let before = to_leaving();
         for _ in 0..12 {
@@ -385,23 +385,23 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_nothing() -> Result<()> {
-    let mut world = site_of(vec![Box::new(|got| {
+async fn planned_stop_completes_open_requests() -> Result<()> {
+    let mut fixture = start_fixture(vec![Box::new(|got| {
         vec![Act::Wait(Duration::from_millis(1_500)), answer(got, "200 OK", "late")]
     })])
     .await?;
-    let addr = world.gateway.callers;
+    let addr = fixture.gateway.callers;
     let bytes = request("POST", "/once/a", "r-1", "", "x");
     let running = tokio::spawn(async move { exchange(addr, &bytes).await });
-    wait_for(async || world.got() == 1).await?;
-    // A connection that never carried a request does not hold the stop up.
+    wait_for(async || fixture.request_count() == 1).await?;
+    // A connection without a request must not delay the stop.
     let silent = TcpStream::connect(addr).await?;
-    world.gateway.ask_to_stop();
-    wait_for(async || !world.gateway.is_ready().await).await?;
+    fixture.gateway.ask_to_stop();
+    wait_for(async || !fixture.gateway.is_ready().await).await?;
     let reply = running.await??;
     expect_that!((reply.status, reply.body.as_str()), eq((200, "late")));
     expect_that!(reply.header("connection"), some(eq("close")));
-    world.gateway.ended().await?;
+    fixture.gateway.ended().await?;
     drop(silent);
     Ok(())
 }
--- a/tests/testsuite/gateway_store.rs
+++ b/tests/testsuite/gateway_store.rs
@@ -1,6 +1,6 @@
 //! Gateways and the platform's store: what they hear from it, and from each other.
 
-use super::gateway::{answer, site_of};
+use super::gateway::{answer, start_fixture};
 use eyre::Result;
 use googletest::prelude::*;
 use mastweir_test_support::{
@@ -61,7 +61,7 @@
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_forgets_its_history_is_listed_again() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
+    let world = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
     world.site.platform.set_down(true);
     world.site.configure(2, &[route("/second/", "safe")]);
     world.site.platform.forget_history();
@@ -76,7 +76,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn servers_that_start_together_cost_a_few_calls() -> Result<()> {
     const STARTED: u64 = 40;
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
+    let world = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
     let (before, began) = (world.site.platform.calls(), Instant::now());
     for number in 0..STARTED {
         world.site.list(&format!("j-{number}"), &world.servers[0], "ready");
--- a/tests/testsuite/unreadable.rs
+++ b/tests/testsuite/unreadable.rs
@@ -1,6 +1,6 @@
-//! Objects that can't be read: each names nothing, is told of once, and the others hold.
+//! Malformed objects in the store must not affect the others, or stop a gateway.
 
-use super::gateway::{World, answer, site_of};
+use super::gateway::{TestFixture, answer, start_fixture};
 use eyre::Result;
 use googletest::prelude::*;
 use mastweir::{
@@ -22,13 +22,13 @@
 };
 use serde_json::{Value, json};
 
-/// A server's entry as the pages have it.
+/// A valid entry of a server.
 fn entry(at: &str) -> Value {
     json!({ "service": "desk", "address": at, "zone": "hall-a", "version": "v1", "slots": 8,
         "state": "ready", "warmup_left_ms": 0, "seq": 1 })
 }
 
-/// Entries that name no server, each with what is wrong with it.
+/// Malformed entries, each with a name for its fault.
 fn bad_entries() -> Vec<(&'static str, Value)> {
     let with = |field: &str, value: Value| {
         let mut entry = entry("127.0.0.1:9");
@@ -62,14 +62,14 @@
     site.platform.put("servers", id, json!({ "spec": spec }));
 }
 
-async fn status(world: &World, path: &str) -> u16 {
+async fn status(fixture: &TestFixture, path: &str) -> u16 {
     let bytes = request("GET", path, "r-1", "", "");
-    exchange(world.gateway.callers, &bytes).await.map_or(0, |reply| reply.status)
+    exchange(fixture.gateway.callers, &bytes).await.map_or(0, |reply| reply.status)
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_starts_among_entries_that_can_not_be_read() -> Result<()> {
+async fn gateway_starts_with_malformed_entries() -> Result<()> {
     let site = Site::new(1)?;
     let server = Scripted::start(|got| vec![answer(got, "200 OK", "")]).await?;
     site.list("i-0", &server, "ready");
@@ -85,46 +85,46 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_running_gateway_hears_on_behind_an_entry_that_can_not_be_read() -> Result<()> {
-    let world = site_of(vec![
+async fn gateway_receives_changes_after_malformed_entry() -> Result<()> {
+    let fixture = start_fixture(vec![
         Box::new(|got| vec![answer(got, "200 OK", "first")]),
         Box::new(|got| vec![answer(got, "200 OK", "second")]),
     ])
     .await?;
     let answered = async || {
         let bytes = request("GET", "/safe/a", "r-1", "", "");
-        exchange(world.gateway.callers, &bytes).await.map_or(String::new(), |reply| reply.body)
+        exchange(fixture.gateway.callers, &bytes).await.map_or(String::new(), |reply| reply.body)
     };
-    bad_entries().iter().for_each(|(id, spec)| put(&world.site, id, spec));
-    // A change behind them is heard.
-    world.site.list("i-0", &world.servers[0], "draining");
+    bad_entries().iter().for_each(|(id, spec)| put(&fixture.site, id, spec));
+    // A later change is received.
+    fixture.site.list("i-0", &fixture.servers[0], "draining");
     wait_for(async || answered().await == "second").await?;
-    // An entry that was good names no server once it can't be read, and one again later.
-    world.site.list("i-0", &world.servers[0], "ready");
-    put(&world.site, "i-1", &json!("spoilt"));
+    // A server whose entry becomes malformed is dropped until the entry is valid again.
+    fixture.site.list("i-0", &fixture.servers[0], "ready");
+    put(&fixture.site, "i-1", &json!("spoilt"));
     wait_for(async || answered().await == "first").await?;
-    world.site.list("i-1", &world.servers[1], "ready");
-    world.site.list("i-0", &world.servers[0], "draining");
+    fixture.site.list("i-1", &fixture.servers[1], "ready");
+    fixture.site.list("i-0", &fixture.servers[0], "draining");
     wait_for(async || answered().await == "second").await
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_that_can_not_be_read_leaves_the_one_before() -> Result<()> {
-    let world = site_of(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
-    let calls = world.site.platform.calls();
-    world.site.platform.put("config", "main", json!({ "spec": { "version": "three" } }));
-    world.site.platform.put("config", "other", json!({ "spec": 7 }));
+async fn malformed_configuration_keeps_previous_one() -> Result<()> {
+    let fixture = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
+    let calls = fixture.site.platform.calls();
+    fixture.site.platform.put("config", "main", json!({ "spec": { "version": "three" } }));
+    fixture.site.platform.put("config", "other", json!({ "spec": 7 }));
     tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
-    expect_that!(status(&world, "/safe/a").await, eq(200));
-    // It is not read over and over.
-    expect_that!(world.site.platform.calls() - calls, le(12));
-    world.site.configure(4, &[route("/new/", "safe")]);
-    wait_for(async || status(&world, "/new/a").await == 200).await
+    expect_that!(status(&fixture, "/safe/a").await, eq(200));
+    // The malformed object is not read repeatedly.
+    expect_that!(fixture.site.platform.calls() - calls, le(12));
+    fixture.site.configure(4, &[route("/new/", "safe")]);
+    wait_for(async || status(&fixture, "/new/a").await == 200).await
 }
 
-/// JSON that is anything but what is wanted.
-fn anything() -> impl Strategy<Value = Value> {
+/// Arbitrary JSON.
+fn arbitrary_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
         any::<bool>().prop_map(Value::from),
@@ -142,11 +142,11 @@
     })
 }
 
-/// A good entry with some of its fields spoilt, or something else altogether.
-fn spoilt(good: Value) -> impl Strategy<Value = Value> {
+/// A valid entry with some of its fields removed or replaced, or arbitrary JSON.
+fn corrupted(good: Value) -> impl Strategy<Value = Value> {
     let fields: Vec<String> =
         good.as_object().map(|fields| fields.keys().cloned().collect()).unwrap_or_default();
-    let change = (0..fields.len(), prop_oneof![Just(None), anything().prop_map(Some)]);
+    let change = (0..fields.len(), prop_oneof![Just(None), arbitrary_json().prop_map(Some)]);
     let changed = vec(change, 1..3).prop_map(move |changes| {
         let mut entry = good.clone();
         for (at, value) in changes {
@@ -157,7 +157,7 @@
         }
         entry
     });
-    prop_oneof![changed, anything()]
+    prop_oneof![changed, arbitrary_json()]
 }
 
 fn runner() -> TestRunner {
@@ -175,9 +175,9 @@
 }
 
 #[googletest::test]
-fn good_entries_hold_beside_any_other_in_lists_and_watches() {
-    let objects = vec((any::<bool>(), spoilt(entry("10.0.0.2:80")), anything()), 0..6);
-    let played = runner().run(&objects, |others| {
+fn valid_entries_are_read_among_malformed_ones() {
+    let objects = vec((any::<bool>(), corrupted(entry("10.0.0.2:80")), arbitrary_json()), 0..6);
+    let result = runner().run(&objects, |others| {
         let mut items = vec![object("a", &entry("10.0.0.1:80"))];
         for (whole, spec, other) in others {
             items.push(if whole { object("x", &spec) } else { other });
@@ -200,16 +200,16 @@
         assert!(changes.changes.last().is_some_and(good));
         Ok(())
     });
-    expect_that!(played, ok(anything_at_all()));
+    expect_that!(result, ok(is_unit()));
 }
 
-/// Whatever the value.
-fn anything_at_all() -> impl for<'a> Matcher<&'a ()> {
+/// Matches the unit value.
+fn is_unit() -> impl for<'a> Matcher<&'a ()> {
     eq(&())
 }
 
 #[googletest::test]
-fn an_entry_of_bytes_that_are_no_text_spoils_no_other() {
+fn entry_with_invalid_utf8_does_not_affect_others() {
     let good = object("a", &entry("10.0.0.1:80")).to_string();
     let mut body = br#"{"items":[{"metadata":{"name":"x"},"spec":{"service":""#.to_vec();
     body.extend([0xff, 0xfe, b'\\', b'u', b'd', b'8', b'0', b'0']);
@@ -223,20 +223,20 @@
 }
 
 #[googletest::test]
-fn other_kinds_are_read_or_refused_without_a_panic() {
+fn malformed_objects_and_messages_do_not_panic() {
     let configuration = json!({ "version": 3, "routes": [], "services": [], "tenants": [] });
-    let played = runner().run(&spoilt(configuration), |spec| {
+    let result = runner().run(&corrupted(configuration), |spec| {
         let body = object("main", &spec).to_string();
         let _ = read_one(body.as_bytes(), 0, config::read);
         Ok(())
     });
-    expect_that!(played, ok(anything_at_all()));
-    let played = runner().run(&vec(any::<u8>(), 0..200), |bytes| {
+    expect_that!(result, ok(is_unit()));
+    let result = runner().run(&vec(any::<u8>(), 0..200), |bytes| {
         let _ = postcard::from_bytes::<Message>(&bytes);
         let _ = read_one(&bytes, 0, servers::read);
         let _ = read_page(&bytes, 0, servers::read);
         let _ = read_changes(&bytes, 0, servers::read);
         Ok(())
     });
-    expect_that!(played, ok(anything_at_all()));
+    expect_that!(result, ok(is_unit()));
 }
