--- a/crates/mastweir-soak/src/tokens.rs
+++ b/crates/mastweir-soak/src/tokens.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashSet, fs, path::Path};
 
 /// The line of a sidecar that coordinates from now on.
-const NOW: &str = "coordinator now";
+const NOW: &str = "became coordinator";
 
 /// Checks the logs in a folder.
 ///
--- a/src/mastweir/ops/logs/report.rs
+++ b/src/mastweir/ops/logs/report.rs
@@ -111,12 +111,12 @@
     "store regained",
     "model server lost",
     "model server regained",
-    "model server started again",
-    "coordinator now",
-    "change of map dropped",
+    "model server restarted",
+    "became coordinator",
+    "map change dropped",
     "object not read",
     "configuration adopted",
-    "silent rank's server",
+    "silent rank's server changed state",
 ];
 
 impl Report {
@@ -171,10 +171,10 @@
                 let skew = line.text("skew_now").parse().unwrap_or(0.0_f64);
                 second.skew_milli = (skew * 1_000.0) as u64;
             }
-            "order without an answer" => second.orders_lost = 1,
+            "order not answered" => second.orders_lost = 1,
             _ => (),
         }
-        if line.message() == "coordinator now" {
+        if line.message() == "became coordinator" {
             second.leads = 1;
         }
         if EVENTS.contains(&line.message()) {
--- a/src/mastweir/sidecar/coordinator.rs
+++ b/src/mastweir/sidecar/coordinator.rs
@@ -217,7 +217,7 @@
         let shifted = std::mem::replace(&mut self.shifts_seen, shifts) != shifts;
         let has_begun = states.iter().any(|state| state.has_begun(target.version));
         if !has_begun && (shifted || now.since(*since) > CHANGE_TIMEOUT) {
-            warn!(self.sidecar.log, "change of map dropped"; "group" => group,
+            warn!(self.sidecar.log, "map change dropped"; "group" => group,
                 "version" => target.version, "shifted" => shifted);
             self.target = None;
         }
--- a/src/mastweir/sidecar/election.rs
+++ b/src/mastweir/sidecar/election.rs
@@ -69,7 +69,8 @@
             Ok(Some(token)) => coordinate(&sidecar, &group, token, &view, &mut reports).await,
             Ok(None) => continue,
             Err(error) => {
-                warn!(sidecar.log, "lease not taken"; "group" => &group, "error" => %error);
+                warn!(sidecar.log, "failed to take the lease"; "group" => &group,
+                    "error" => %error);
                 time::sleep(STORE_RETRY_DELAY).await;
             }
         }
@@ -101,7 +102,7 @@
     view: &GroupView,
     reports: &mut mpsc::Receiver<Message>,
 ) {
-    info!(sidecar.log, "coordinator now"; "group" => group, "token" => token);
+    info!(sidecar.log, "became coordinator"; "group" => group, "token" => token);
     while reports.try_recv().is_ok() {}
     // The address is only known if no coordinator was elected in between.
     let known = sidecar.coordinator.borrow().clone();
@@ -125,7 +126,7 @@
         () = poller::receive_answers(sidecar, &shared, reports) => (),
         () = poller::refresh_members(sidecar, &shared) => (),
     }
-    info!(sidecar.log, "coordinator no more"; "group" => group, "token" => token);
+    info!(sidecar.log, "stopped coordinating"; "group" => group, "token" => token);
 }
 
 /// Marks the members at the address of the previous coordinator as failed. As an aggregator it
@@ -158,7 +159,8 @@
     let read = sidecar.store.lease(&name).await?;
     let last = read.stored.as_ref().map_or(0, |lease| lease.epoch);
     if election.defers_to(last, sidecar.clock.now()) {
-        info!(sidecar.log, "another coordinator awaited"; "group" => group, "token" => last);
+        info!(sidecar.log, "lease already taken; waiting for the new coordinator";
+            "group" => group, "token" => last);
         return Ok(None);
     }
     let token = election.next_token(last, read.generation);
@@ -185,7 +187,7 @@
 /// Deletes the lease objects of older generations of the store.
 async fn clear_older_leases(sidecar: Rc<Sidecar>, name: String, generation: u64) {
     if let Err(error) = sidecar.store.delete_older_leases(&name, generation).await {
-        info!(sidecar.log, "older leases not cleared"; "lease" => &name, "era" => generation,
+        info!(sidecar.log, "failed to delete older leases"; "lease" => &name, "era" => generation,
             "error" => %error);
     }
 }
--- a/src/mastweir/sidecar/map_lookup.rs
+++ b/src/mastweir/sidecar/map_lookup.rs
@@ -33,7 +33,7 @@
             if let Some(map) =
                 cached.filter(|map| map.first().is_some_and(|set| set.len() == ranks))
             {
-                info!(self.sidecar.log, "map known"; "group" => &self.shared.group,
+                info!(self.sidecar.log, "map found"; "group" => &self.shared.group,
                     "version" => version);
                 self.is_inferred = false;
                 self.set_map(version, map);
@@ -85,7 +85,7 @@
                 internal::call(pool, addr, "/whole", &version, READ_TIMEOUT).await;
             match map {
                 Ok(map) => return Some(Arc::new(map)),
-                Err(error) => warn!(self.sidecar.log, "map not told"; "server" => %server,
+                Err(error) => warn!(self.sidecar.log, "failed to fetch map"; "server" => %server,
                     "version" => version, "error" => %error),
             }
         }
@@ -110,13 +110,13 @@
         let missing = by_rank.iter().filter(|layers| layers.is_none()).count();
         let experts = self.sidecar.model.borrow().as_ref().map_or(0, |model| model.experts);
         if missing > 1 || experts == 0 {
-            warn!(self.sidecar.log, "map not read"; "group" => &self.shared.group,
+            warn!(self.sidecar.log, "failed to read map"; "group" => &self.shared.group,
                 "version" => version, "missing" => missing);
             return;
         }
         self.is_inferred = missing > 0;
-        info!(self.sidecar.log, "map read"; "group" => &self.shared.group, "version" => version,
-            "missing" => missing);
+        info!(self.sidecar.log, "map read from ranks"; "group" => &self.shared.group,
+            "version" => version, "missing" => missing);
         let map = Arc::new(plan::assemble_map(&by_rank, experts));
         if self.is_inferred {
             self.map = Some((version, map));
--- a/src/mastweir/sidecar/order_executor.rs
+++ b/src/mastweir/sidecar/order_executor.rs
@@ -45,7 +45,7 @@
         "/map" => match sidecar.engine.map().await {
             Ok(map) => postcard::to_stdvec(&map).ok(),
             Err(error) => {
-                warn!(sidecar.log, "map not read"; "error" => %error);
+                warn!(sidecar.log, "failed to read map"; "error" => %error);
                 None
             }
         },
@@ -75,7 +75,7 @@
     let call = internal::call(&sidecar.peer_pool, addr, "/orders", &batch, FORWARD_TIMEOUT);
     let results: Result<BatchReplies, _> = call.await;
     let replies = results.unwrap_or_else(|error| {
-        warn!(sidecar.log, "order not passed on"; "server" => %server, "error" => %error);
+        warn!(sidecar.log, "failed to forward order"; "server" => %server, "error" => %error);
         BatchReplies::new()
     });
     replies.into_iter().next().map(|(_, reply)| reply).unwrap_or_default()
@@ -141,7 +141,7 @@
             Ok(outcome) => return SendResult { outcome: Some(outcome), unanswered },
             Err(error) => {
                 unanswered += 1;
-                warn!(sidecar.log, "order without an answer"; "token" => order.token,
+                warn!(sidecar.log, "order not answered"; "token" => order.token,
                     "taken" => order.order_seq, "times" => unanswered, "error" => %error);
                 if !matches!(error, EngineError::Call(_)) {
                     break;
@@ -168,7 +168,7 @@
     let addr = sidecar.addr(server.ip());
     let call = internal::call(&sidecar.peer_pool, addr, "/state", &(), wait);
     call.await.unwrap_or_else(|error| {
-        warn!(sidecar.log, "sidecar gave no answer"; "server" => %server, "error" => %error);
+        warn!(sidecar.log, "no reply from sidecar"; "server" => %server, "error" => %error);
         OrderReply::default()
     })
 }
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -164,7 +164,8 @@
     let addr = sidecar.addr(aggregator.ip());
     let call = internal::call(&sidecar.peer_pool, addr, "/orders", &batch, BATCH_TIMEOUT).await;
     let results: BatchReplies = call.unwrap_or_else(|error| {
-        warn!(sidecar.log, "section gave no answer"; "head" => %aggregator, "error" => %error);
+        warn!(sidecar.log, "no reply from aggregator"; "aggregator" => %aggregator,
+            "error" => %error);
         shared.state.borrow_mut().record_failure(aggregator, sidecar.clock.now());
         BatchReplies::new()
     });
@@ -214,7 +215,7 @@
         OrderKind::Load { version, .. } => format!("load {version}"),
         other => format!("{other:?}"),
     };
-    info!(sidecar.log, "orders given"; "group" => &shared.group, "token" => shared.token,
+    info!(sidecar.log, "orders sent"; "group" => &shared.group, "token" => shared.token,
         "epoch" => first.order.epoch, "first" => brief, "first_rank" => first.rank,
         "ranks" => orders.len());
 }
--- a/src/mastweir/sidecar/poller.rs
+++ b/src/mastweir/sidecar/poller.rs
@@ -114,7 +114,7 @@
             let before = state.members.len();
             state.record_view(&view, now);
             if state.members.len() != before {
-                info!(sidecar.log, "members listed"; "group" => &shared.group,
+                info!(sidecar.log, "members updated"; "group" => &shared.group,
                     "members" => state.members.len(), "before" => before);
             }
         }
@@ -130,7 +130,7 @@
         match called {
             Ok(view) => return Some(view),
             Err(error) => {
-                warn!(sidecar.log, "members not listed"; "peer" => %ip, "error" => %error);
+                warn!(sidecar.log, "failed to list members"; "peer" => %ip, "error" => %error);
             }
         }
     }
--- a/src/mastweir/sidecar/rank_views.rs
+++ b/src/mastweir/sidecar/rank_views.rs
@@ -239,7 +239,8 @@
         };
         if changed {
             let state = if is_lost { "lost" } else { "regained" };
-            info!(sidecar.log, "silent rank's server"; "server" => %server, "state" => state);
+            info!(sidecar.log, "silent rank's server changed state"; "server" => %server,
+                "state" => state);
         }
         let Some(state) = state else { return };
         let load = self.views.get(&state.rank).map_or(0, |view| view.load);
--- a/src/mastweir/sidecar/server_watch.rs
+++ b/src/mastweir/sidecar/server_watch.rs
@@ -53,7 +53,8 @@
     keep_limit(sidecar, &mut state);
     let before = sidecar.engine_state.borrow().as_ref().map(|before| before.incarnation);
     if before.is_some_and(|before| before != state.incarnation) {
-        info!(sidecar.log, "model server started again"; "born" => state.incarnation, "before" => before);
+        info!(sidecar.log, "model server restarted"; "born" => state.incarnation,
+            "before" => before);
         *passes = PassTimer::default();
     }
     if let Some(rank) = &state.rank {
@@ -64,7 +65,7 @@
     send_report(sidecar, &state, passes, now);
     let before = sidecar.engine_state.borrow().as_ref().map(|before| before.slowdown_milli);
     if before.is_some_and(|before| before != state.slowdown_milli) {
-        info!(sidecar.log, "model server's pace changed"; "before_milli" => before,
+        info!(sidecar.log, "model server's slowdown changed"; "before_milli" => before,
             "now_milli" => state.slowdown_milli);
     }
     *sidecar.engine_state.borrow_mut() = Some(state);
@@ -112,7 +113,7 @@
     let coordinator = sidecar.known_coordinator();
     let report = Message::Report(ServerReport { server: sidecar.server, load, coordinator });
     for ip in sidecar.relays.borrow_mut().expire(now) {
-        info!(sidecar.log, "speaker lost"; "peer" => %ip);
+        info!(sidecar.log, "relay gateway lost"; "peer" => %ip);
     }
     sidecar.relays.borrow().live().for_each(|ip| sidecar.send(ip, &report));
 }
@@ -151,7 +152,7 @@
     // A relay that is leaving still serves streams. Without reports it would exclude all servers
     // and cut them. It expires when its announcements end.
     if sidecar.relays.borrow_mut().refresh(from, now) {
-        info!(sidecar.log, "speaker found"; "peer" => %from);
+        info!(sidecar.log, "relay gateway found"; "peer" => %from);
     }
     if hello.model.is_some() {
         *sidecar.model.borrow_mut() = hello.model;
--- a/tests/testsuite/sight.rs
+++ b/tests/testsuite/sight.rs
@@ -18,8 +18,8 @@
 {"msg":"request","level":"INFO","ts":"2026-10-03T06:53:51.4Z","instance":"gw-a","config":4,"server":"i-2","sends":1,"waited_ms":0,"late":"yes","took_ms":900,"status":502,"outcome":"ended","route":"fetch","id":"r-3"}
   12.3000 gw-a {"msg":"request","level":"INFO","ts":"2026-10-03T06:53:53.3Z","instance":"gw-a","took_ms":9,"late":"no","status":200,"outcome":"answered","route":"fetch","id":"r-4"}
   12.4000 side-1 {"msg":"map in force","level":"INFO","ts":"2026-10-03T06:53:53.4Z","instance":"side-1","group":"g0","version":3,"took_ms":220}
-  12.5000 side-1 {"msg":"order without an answer","level":"WARN","ts":"2026-10-03T06:53:53.5Z","instance":"side-1","tok
-  12.6000 side-1 {"msg":"coordinator now","level":"INFO","ts":"2026-10-03T06:53:53.6Z","instance":"side-1","group":"g0","token":2}
+  12.5000 side-1 {"msg":"order not answered","level":"WARN","ts":"2026-10-03T06:53:53.5Z","instance":"side-1","tok
+  12.6000 side-1 {"msg":"became coordinator","level":"INFO","ts":"2026-10-03T06:53:53.6Z","instance":"side-1","group":"g0","token":2}
 something that is not ours
   13.0000 gw-b {"msg":"stream timing","level":"INFO","ts":"2026-10-03T06:53:54Z","instance":"gw-b","end":"cut","route":"draft","late":"no","id":"r-5"}
   13.1000 gw-a {"msg":"stream interrupted","level":"INFO","ts":"2026-10-03T06:53:54.1Z","instance":"gw-a","last_event":null,"fingerprint":"00c0ffee00c0ffee","reason":"broken","server":"i-3","id":"r-6"}
