--- a/src/mastweir/agent/mod.rs
+++ b/src/mastweir/agent/mod.rs
@@ -13,12 +13,12 @@
 mod answer;
 mod engine;
 mod engine_report;
+mod epoch_fence;
 mod jobs;
-mod ranks;
 
 mod reports;
+mod runner;
 mod serve;
-mod work;
 
 use crate::{
     Context,
@@ -64,7 +64,7 @@
     context: Context,
     options: AgentOptions,
     jobs: jobs::Jobs,
-    ranks: ranks::Ranks,
+    ranks: epoch_fence::Ranks,
     engine: engine::Engine,
     socket: Socket,
     subscribers: reports::Subscribers,
@@ -85,7 +85,7 @@
         let udp = socket.local_addr()?;
         let engine = engine::Engine::new(&options.engine)?;
         let jobs = jobs::Jobs::new(&context, &options);
-        let ranks = ranks::Ranks::new(options.group.clone());
+        let ranks = epoch_fence::Ranks::new(options.group.clone());
         let (stop, _) = watch::channel(false);
         let shared = Arc::new(Shared {
             context,
@@ -101,8 +101,8 @@
         tasks.spawn(serve::accept(shared.clone(), listener));
         tasks.spawn(reports::answer_subscribers(shared.clone()));
         tasks.spawn(reports::send(shared.clone()));
-        tasks.spawn(work::poll(shared.clone()));
-        tasks.spawn(ranks::learn(shared.clone()));
+        tasks.spawn(runner::poll(shared.clone()));
+        tasks.spawn(epoch_fence::learn(shared.clone()));
         slog::info!(shared.context.log, "agent listens"; "tcp" => %tcp, "udp" => %udp,
             "incarnation" => shared.context.incarnation.0);
         Ok(Self { tcp, udp, shared, tasks })
--- a/src/mastweir/agent/serve.rs
+++ b/src/mastweir/agent/serve.rs
@@ -3,8 +3,9 @@
 use super::{
     Shared,
     answer::{End, Item},
+    epoch_fence,
     jobs::Job,
-    ranks, work,
+    runner,
 };
 use crate::net::{Channel, ChannelError, Receiver, Sender};
 use mastweir_core::wire::{BODY_MAX, FromAgent, Start, ToAgent};
@@ -62,7 +63,7 @@
             attempt(shared, channel, *start, body).await
         }
         ToAgent::Rank(order) => {
-            let reply = ranks::order(shared, &order).await;
+            let reply = epoch_fence::order(shared, &order).await;
             channel.sender.send(&FromAgent::Rank(reply)).await
         }
         // A cancel that crossed with the end of its answer.
@@ -103,7 +104,7 @@
             return channel.sender.send(&refused).await;
         }
     };
-    work::pump(shared);
+    runner::pump(shared);
     let result = tokio::select! {
         result = write_answer(shared, &mut channel.sender, &job, from) => result,
         cancel = wait_cancel(&mut channel.receiver) => {
