--- a/src/mastweir/agent/answer.rs
+++ b/src/mastweir/agent/answer.rs
@@ -1,64 +1,64 @@
-//! An answer as it grows: one writer, any number of readers.
+//! Buffer of an answer, with one writer and any number of readers.
 //!
-//! The call to the engine writes; the connection that ordered it reads, and so
-//! does one that joins later, from any unit on. A slow reader of an answer that
-//! nobody may join holds the writer up; one that may be joined is kept whole,
-//! up to a bound.
+//! The call to the engine writes the answer in chunks. The channel that submitted the request reads
+//! it. Other channels can join the answer of an at-most-once operation and read it from any chunk,
+//! so such an answer is kept completely, up to a limit. The chunks of other answers are dropped
+//! once read, and a slow reader delays the writer.
 
 use bytes::Bytes;
 use mastweir_core::{outcome::Refusal, wire::RequestCost};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// Bytes of an answer that may be joined at most.
-const WHOLE_MAX: usize = 4 << 20;
-/// Bytes ahead of the reader of an answer that nobody joins.
-const AHEAD_MAX: usize = 256 << 10;
+/// Maximum bytes of an answer that can be joined.
+const JOINABLE_MAX: usize = 4 << 20;
+/// Maximum unread bytes of an answer that can't be joined.
+const BUFFER_MAX: usize = 256 << 10;
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Whole.
-    Whole(RequestCost),
-    /// Never whole.
+pub enum AnswerEnd {
+    Complete(RequestCost),
+    /// The answer is incomplete.
     Broken,
-    /// Never whole: the engine ended under it.
-    EngineEnded,
-    /// Never begun.
+    /// The answer is incomplete, as the engine crashed.
+    EngineCrashed,
+    /// The request did not run.
     Refused(Refusal),
 }
 
-/// What a reader gets next.
+/// Next part of an answer for a reader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// Status and content type.
+    /// HTTP status and content type.
     Head(u16, Option<String>),
-    /// A unit and its number.
+    /// Number and bytes of a chunk.
     Chunk(u64, Bytes),
-    /// The end.
-    End(End),
+    End(AnswerEnd),
 }
 
 #[derive(Debug, Default)]
 struct State {
     head: Option<(u16, Option<String>)>,
     chunks: Vec<Bytes>,
-    /// Number of the first unit in `chunks`.
+    /// Number of the first chunk in `chunks`.
     first: u64,
+    /// Bytes in `chunks`.
     size: usize,
-    end: Option<End>,
+    end: Option<AnswerEnd>,
     cancelled: bool,
 }
 
-/// An answer.
+/// See the [module](self).
 #[derive(Debug)]
 pub struct Answer {
     state: Mutex<State>,
+    /// Number of changes, which wakes the readers and the writer.
     changed: watch::Sender<u64>,
-    whole: bool,
+    is_joinable: bool,
 }
 
-/// A reader's place.
+/// Position of a reader.
 #[derive(Debug)]
 pub struct Reader {
     head_seen: bool,
@@ -67,57 +67,55 @@
 }
 
 impl Answer {
-    /// An answer whose first unit will have number `first`. `whole` keeps all
-    /// of it, for those who join.
-    pub fn new(whole: bool, first: u64) -> Self {
+    /// Creates an answer whose first chunk has the number `first`.
+    pub fn new(is_joinable: bool, first: u64) -> Self {
         let state = State { first, ..State::default() };
-        Self { state: Mutex::new(state), changed: watch::channel(0).0, whole }
+        Self { state: Mutex::new(state), changed: watch::channel(0).0, is_joinable }
     }
 
-    /// A reader from unit `from` on.
+    /// Creates a reader that begins with the head and chunk `from`.
     pub fn reader(&self, from: u64) -> Reader {
         Reader { head_seen: false, next: from, changes: self.changed.subscribe() }
     }
 
-    /// Writes the head.
-    pub fn head(&self, status: u16, content: Option<String>) {
-        self.lock().head = Some((status, content));
-        self.tell();
+    pub fn set_head(&self, status: u16, content_type: Option<String>) {
+        self.lock().head = Some((status, content_type));
+        self.notify();
     }
 
-    /// Writes a unit, and waits while the reader lags. False if the answer
-    /// has become too large, or is not wanted any more.
+    /// Appends a chunk; waits while the buffer of an answer that can't be joined is full. Returns
+    /// false if the answer is too large or was cancelled.
     pub async fn push(&self, bytes: Bytes) -> bool {
         let mut changes = self.changed.subscribe();
         loop {
             if self.try_push(&bytes) {
-                self.tell();
+                self.notify();
                 return true;
             }
-            if self.whole || self.is_cancelled() || changes.changed().await.is_err() {
+            if self.is_joinable || self.is_cancelled() || changes.changed().await.is_err() {
                 return false;
             }
         }
     }
 
-    /// Ends it; only the first end counts.
-    pub fn end(&self, end: End) {
+    /// Ends the answer. Later calls have no effect.
+    pub fn end(&self, end: AnswerEnd) {
         self.lock().end.get_or_insert(end);
-        self.tell();
+        self.notify();
     }
 
-    /// The writer may stop.
+    /// Asks the writer to stop.
     pub fn cancel(&self) {
         self.lock().cancelled = true;
-        self.tell();
+        self.notify();
     }
 
-    /// Whether the writer may stop.
+    /// Returns whether the writer was asked to stop.
     pub fn is_cancelled(&self) -> bool {
         self.lock().cancelled
     }
 
-    /// Waits until the writer may stop.
+    /// Waits until the writer is asked to stop.
     pub async fn cancelled(&self) {
         let mut changes = self.changed.subscribe();
         while !self.is_cancelled() {
@@ -127,18 +125,18 @@
         }
     }
 
-    /// Bytes in it.
+    /// Returns the number of bytes in the buffer.
     pub fn size(&self) -> usize {
         self.lock().size
     }
 
-    /// Units written so far.
-    pub fn units(&self) -> u64 {
+    /// Returns the number of the next chunk to be written.
+    pub fn chunk_count(&self) -> u64 {
         let state = self.lock();
         state.first + state.chunks.len() as u64
     }
 
-    /// Waits for the reader's next item.
+    /// Waits for the next part of the answer.
     pub async fn next(&self, reader: &mut Reader) -> Item {
         loop {
             reader.changes.borrow_and_update();
@@ -146,15 +144,16 @@
                 return item;
             }
             if reader.changes.changed().await.is_err() {
-                return Item::End(End::Broken);
+                return Item::End(AnswerEnd::Broken);
             }
         }
     }
 
     fn try_push(&self, bytes: &Bytes) -> bool {
         let mut state = self.lock();
-        let max = if self.whole { WHOLE_MAX } else { AHEAD_MAX };
-        let fits = state.size + bytes.len() <= max || (!self.whole && state.chunks.is_empty());
+        let max = if self.is_joinable { JOINABLE_MAX } else { BUFFER_MAX };
+        let fits =
+            state.size + bytes.len() <= max || (!self.is_joinable && state.chunks.is_empty());
         if !fits || state.cancelled {
             return false;
         }
@@ -165,41 +164,41 @@
 
     fn try_next(&self, reader: &mut Reader) -> Option<Item> {
         let mut state = self.lock();
-        if let Some(End::Refused(why)) = state.end {
-            return Some(Item::End(End::Refused(why)));
+        if let Some(AnswerEnd::Refused(reason)) = state.end {
+            return Some(Item::End(AnswerEnd::Refused(reason)));
         }
         if !reader.head_seen {
-            let (status, content) = match state.head.clone() {
+            let (status, content_type) = match state.head.clone() {
                 Some(head) => head,
                 None => return state.end.map(Item::End),
             };
             reader.head_seen = true;
-            return Some(Item::Head(status, content));
+            return Some(Item::Head(status, content_type));
         }
-        let Some(place) = reader.next.checked_sub(state.first) else {
-            return Some(Item::End(End::Broken));
+        let Some(index) = reader.next.checked_sub(state.first) else {
+            return Some(Item::End(AnswerEnd::Broken));
         };
-        let place = usize::try_from(place).unwrap_or(usize::MAX);
-        let Some(bytes) = state.chunks.get(place).cloned() else {
+        let index = usize::try_from(index).unwrap_or(usize::MAX);
+        let Some(bytes) = state.chunks.get(index).cloned() else {
             return state.end.map(Item::End);
         };
         let at = reader.next;
         reader.next += 1;
-        if !self.whole {
-            self.drop_read(&mut state, place + 1);
+        if !self.is_joinable {
+            self.drop_read(&mut state, index + 1);
         }
         Some(Item::Chunk(at, bytes))
     }
 
-    /// Units that the only reader has read are dropped, and the writer goes on.
+    /// Drops the chunks that the only reader has read, and wakes the writer.
     fn drop_read(&self, state: &mut State, count: usize) {
         let read: usize = state.chunks.drain(..count).map(|bytes| bytes.len()).sum();
         state.first += count as u64;
         state.size -= read;
-        self.tell();
+        self.notify();
     }
 
-    fn tell(&self) {
+    fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
@@ -208,9 +207,9 @@
     }
 }
 
-/// Lets nobody wait for an answer for ever.
+/// Ends the answer, so that no reader waits forever.
 impl Drop for Answer {
     fn drop(&mut self) {
-        self.end(End::Broken);
+        self.end(AnswerEnd::Broken);
     }
 }
--- a/src/mastweir/agent/engine.rs
+++ b/src/mastweir/agent/engine.rs
@@ -1,6 +1,9 @@
-//! The engine or plain service beside the agent, over HTTP.
+//! HTTP client for the server's engine or plain service.
+//!
+//! Sends requests and rank orders to the engine, and copies the response of a request to its
+//! [`Answer`](super::answer::Answer), with one chunk for each event of a stream.
 
-use super::{answer::End, engine_report::Report, jobs::Job};
+use super::{answer::AnswerEnd, engine_report::EngineReport, jobs::Job};
 use crate::net::http;
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -14,17 +17,17 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Looks at an engine that broke an answer off, and the pause before each of them.
-const ENDED_LOOKS: u32 = 2;
-const ENDED_LOOK: Duration = Duration::from_millis(50);
-/// Time for it to carry out a rank order.
-const ORDER_TIME: Duration = Duration::from_secs(2);
+/// Probes of an engine that broke off an answer, and the time before and for each of them.
+const CRASH_PROBES: u32 = 2;
+const CRASH_PROBE_TIME: Duration = Duration::from_millis(50);
+/// Time for the engine to carry out a rank order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 const EVENT_STREAM: &str = "text/event-stream";
 const EVENT_END: &[u8] = b"\n\n";
-/// Last event of a stream in the protocol of chat completions.
+/// Start of the last event of a stream of completions.
 const LAST_EVENT: &[u8] = b"data: [DONE]";
 
-/// Usage in an unstreamed answer.
+/// Usage in an answer that is not streamed.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Usage {
@@ -38,7 +41,7 @@
     usage: Usage,
 }
 
-/// The engine's client.
+/// Client for one engine.
 #[derive(Debug)]
 pub struct Engine {
     client: Client,
@@ -46,39 +49,40 @@
 }
 
 impl Engine {
-    /// A client for the engine at `base`.
+    /// Creates a client for the engine at the URL `base`.
     pub fn new(base: &str) -> eyre::Result<Self> {
         let client = Client::builder().connect_timeout(Duration::from_secs(1)).build()?;
         Ok(Self { client, base: base.trim_end_matches('/').to_owned() })
     }
 
-    /// Passes a rank order on.
-    pub async fn order(&self, order: &RankOrder) -> Result<RankReply, reqwest::Error> {
+    /// Sends a rank order.
+    pub async fn send_order(&self, order: &RankOrder) -> Result<RankReply, reqwest::Error> {
         let request = self.client.post(format!("{}/rank", self.base)).json(order);
-        request.timeout(ORDER_TIME).send().await?.error_for_status()?.json().await
+        request.timeout(ORDER_TIMEOUT).send().await?.error_for_status()?.json().await
     }
 
-    /// What it says of itself; none if it gave no answer in time.
-    pub async fn report(&self, wait: Duration) -> Option<Report> {
+    /// Reads the engine's load report; `None` if that fails or takes longer than `wait`.
+    pub async fn load(&self, wait: Duration) -> Option<EngineReport> {
         let request = self.client.get(format!("{}/load", self.base));
         let response = request.timeout(wait).send().await.ok()?;
         response.json().await.ok()
     }
 
-    /// Whether nobody listens at its port, at two looks in a row: a process that ends closes
-    /// its port behind its connections.
-    pub async fn has_ended(&self) -> bool {
-        for _ in 0..ENDED_LOOKS {
-            time::sleep(ENDED_LOOK).await;
-            let look = self.client.get(format!("{}/load", self.base)).timeout(ENDED_LOOK).send();
-            if !look.await.is_err_and(|error| error.is_connect()) {
+    /// Returns whether the engine's port refuses connections at several probes in a row. The first
+    /// probe is delayed, as a crashing process may close its port after its connections.
+    pub async fn has_crashed(&self) -> bool {
+        for _ in 0..CRASH_PROBES {
+            time::sleep(CRASH_PROBE_TIME).await;
+            let probe =
+                self.client.get(format!("{}/load", self.base)).timeout(CRASH_PROBE_TIME).send();
+            if !probe.await.is_err_and(|error| error.is_connect()) {
                 return false;
             }
         }
         true
     }
 
-    fn call(&self, job: &Job) -> Option<RequestBuilder> {
+    fn request(&self, job: &Job) -> Option<RequestBuilder> {
         let start = &job.start;
         let method = Method::from_bytes(start.method.as_bytes()).ok()?;
         let request = self.client.request(method, format!("{}{}", self.base, start.path));
@@ -87,7 +91,7 @@
             .header("x-operation-id", start.op.to_string())
             .header("x-priority", start.class.to_string());
         let request = match &start.content_type {
-            Some(content) => request.header(header::CONTENT_TYPE, content),
+            Some(content_type) => request.header(header::CONTENT_TYPE, content_type),
             None => request,
         };
         let resumed = start.repeatable && start.from > 0;
@@ -97,77 +101,81 @@
     }
 }
 
-/// Runs a request to its end. `backs_off` is told at once how long the engine wants no
-/// others, if it turns this one away and says so.
-pub async fn answer(engine: &Engine, job: &Job, backs_off: impl FnOnce(Duration)) -> End {
-    let Some(request) = engine.call(job) else { return End::Refused(Refusal::NotServed) };
+/// Runs a request in the engine. Calls `on_backoff` if the response asks for a backoff.
+pub async fn run(engine: &Engine, job: &Job, on_backoff: impl FnOnce(Duration)) -> AnswerEnd {
+    let Some(request) = engine.request(job) else {
+        return AnswerEnd::Refused(Refusal::NotServed);
+    };
     let response = match request.send().await {
         Ok(response) => response,
-        // No connection: no byte left.
-        Err(error) if error.is_connect() => return End::Refused(Refusal::EngineUnreachable),
-        Err(_) => return End::Broken,
+        // Nothing was sent.
+        Err(error) if error.is_connect() => return AnswerEnd::Refused(Refusal::EngineUnreachable),
+        Err(_) => return AnswerEnd::Broken,
     };
     if let Some(wait) = http::retry_after(response.status(), response.headers()) {
-        backs_off(wait);
+        on_backoff(wait);
     }
-    let content = response.headers().get(header::CONTENT_TYPE);
-    let content = content.and_then(|value| value.to_str().ok()).map(str::to_owned);
-    let streamed = content.as_deref().is_some_and(|content| content.starts_with(EVENT_STREAM));
-    job.answer.head(response.status().as_u16(), content);
-    if streamed { events(response, job).await } else { pieces(response, job).await }
+    let content_type = response.headers().get(header::CONTENT_TYPE);
+    let content_type = content_type.and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let streamed =
+        content_type.as_deref().is_some_and(|content_type| content_type.starts_with(EVENT_STREAM));
+    job.answer.set_head(response.status().as_u16(), content_type);
+    if streamed { read_events(response, job).await } else { read_chunks(response, job).await }
 }
 
-/// Takes a stream apart into events, one a unit.
-async fn events(response: Response, job: &Job) -> End {
+/// Copies a stream to the answer, one chunk for each event.
+async fn read_events(response: Response, job: &Job) -> AnswerEnd {
     let mut stream = response.bytes_stream();
     let mut buffer = BytesMut::new();
     let mut tokens = 0;
     let mut complete = false;
-    while let Some(piece) = stream.next().await {
-        let Ok(piece) = piece else { return End::Broken };
-        buffer.extend_from_slice(&piece);
+    while let Some(bytes) = stream.next().await {
+        let Ok(bytes) = bytes else { return AnswerEnd::Broken };
+        buffer.extend_from_slice(&bytes);
         while let Some(event) = split_event(&mut buffer) {
             complete |= event.starts_with(LAST_EVENT);
             tokens += 1;
             if !job.answer.push(event).await {
-                return End::Broken;
+                return AnswerEnd::Broken;
             }
         }
         if buffer.len() > CHUNK_MAX {
-            return End::Broken;
+            return AnswerEnd::Broken;
         }
     }
-    // A stream that stops without its last event is not whole.
-    if complete { End::Whole(spent(job, tokens)) } else { End::Broken }
+    // Without its last event, a stream is incomplete even if the connection closed normally.
+    if complete { AnswerEnd::Complete(cost_of(job, tokens)) } else { AnswerEnd::Broken }
 }
 
-async fn pieces(response: Response, job: &Job) -> End {
+/// Copies a response that is not a stream to the answer, in chunks.
+async fn read_chunks(response: Response, job: &Job) -> AnswerEnd {
     let length = response.content_length();
     let mut stream = response.bytes_stream();
-    let mut whole = Vec::new();
-    while let Some(piece) = stream.next().await {
-        let Ok(mut piece) = piece else { return End::Broken };
-        whole.extend_from_slice(&piece);
-        while piece.has_remaining() {
-            let part = piece.split_to(piece.len().min(CHUNK_MAX));
-            if !job.answer.push(part).await {
-                return End::Broken;
+    let mut body = Vec::new();
+    while let Some(bytes) = stream.next().await {
+        let Ok(mut bytes) = bytes else { return AnswerEnd::Broken };
+        body.extend_from_slice(&bytes);
+        while bytes.has_remaining() {
+            let chunk = bytes.split_to(bytes.len().min(CHUNK_MAX));
+            if !job.answer.push(chunk).await {
+                return AnswerEnd::Broken;
             }
         }
     }
-    if length.is_some_and(|length| length != whole.len() as u64) {
-        return End::Broken;
+    if length.is_some_and(|length| length != body.len() as u64) {
+        return AnswerEnd::Broken;
     }
-    let completion: Completion = serde_json::from_slice(&whole).unwrap_or_default();
-    End::Whole(spent(job, completion.usage.completion_tokens))
+    let completion: Completion = serde_json::from_slice(&body).unwrap_or_default();
+    AnswerEnd::Complete(cost_of(job, completion.usage.completion_tokens))
 }
 
+/// Splits the first complete event from the buffer.
 fn split_event(buffer: &mut BytesMut) -> Option<Bytes> {
     let end = buffer.windows(EVENT_END.len()).position(|window| window == EVENT_END)?;
     Some(buffer.split_to(end + EVENT_END.len()).freeze())
 }
 
-/// What a request has cost, now that its length is known.
-fn spent(job: &Job, generated: u64) -> RequestCost {
+/// Returns the cost of a request by the model tokens generated.
+fn cost_of(job: &Job, generated: u64) -> RequestCost {
     RequestCost { units: job.start.units(generated) }
 }
--- a/src/mastweir/agent/engine_report.rs
+++ b/src/mastweir/agent/engine_report.rs
@@ -1,19 +1,19 @@
-//! What an engine says of itself.
+//! Load report of an engine.
 
 use serde::{Deserialize, Serialize};
 
-/// What an engine says of itself at `/load`.
+/// Load report that an engine returns at `/load`. Fields that it omits are 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Report {
+pub struct EngineReport {
     /// Step time of the group's slowest rank, in microseconds.
     pub step_us: u32,
-    /// Slowest rank over mean, in thousandths.
+    /// Time of the slowest rank relative to the mean, in thousandths.
     pub skew: u16,
-    /// Free room for KV cache, in thousandths.
+    /// Free part of the KV cache, in thousandths.
     pub kv_free: u16,
-    /// Version of the expert map in force.
+    /// Version of the current expert map.
     pub map: u64,
-    /// Changes when a rank here was replaced.
+    /// Incarnations of the ranks at this server. The value changes when a rank is replaced.
     pub lives: u64,
 }
--- a/src/mastweir/agent/epoch_fence.rs
+++ b/src/mastweir/agent/epoch_fence.rs
@@ -1,10 +1,9 @@
-//! The fence before the engine's rank group.
+//! Rejects rank orders of previous coordinators.
 //!
-//! An order carries the epoch of its coordinator's lease. The agent passes on
-//! nothing below the highest epoch it knows, and one order at a time, so an
-//! engine that does not check for itself still sees orders in order. An agent
-//! that has just started knows no epoch: it takes no orders until it has read
-//! the lease, where the epoch lasts.
+//! An order carries the epoch of its coordinator's lease and a round. The agent forwards orders to
+//! the engine one at a time, and rejects those below the highest epoch and round forwarded so far.
+//! Engines that don't check the epoch are protected as well. After its start, the agent rejects all
+//! orders until it has read the current epoch from the lease in the object API.
 
 use super::Shared;
 use crate::objects::{Collection, GroupSpec, ObjectError};
@@ -12,28 +11,28 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::Mutex, time};
 
-/// Time between tries to learn the epoch.
-const LEARN_RETRY: Duration = Duration::from_millis(500);
+/// Time between attempts to read the epoch.
+const READ_RETRY: Duration = Duration::from_millis(500);
 
-/// The fence.
+/// See the [module](self).
 #[derive(Debug)]
-pub struct Ranks {
+pub struct EpochFence {
     group: Option<GroupSpec>,
-    /// Highest epoch and round that is known; `None` before it was learned.
-    /// Held over the order to the engine: one at a time.
+    /// Highest epoch and round; `None` until the lease was read. The lock is held while the engine
+    /// carries out an order.
     highest: Mutex<Option<(u64, u64)>>,
 }
 
-impl Ranks {
-    /// A fence that has learned nothing yet.
+impl EpochFence {
+    /// Creates a fence that rejects all orders until the epoch is read.
     pub fn new(group: Option<GroupSpec>) -> Self {
         Self { group, highest: Mutex::new(None) }
     }
 }
 
-/// Learns the highest epoch from the object API, once.
-pub async fn learn(shared: Arc<Shared>) {
-    let Some(group) = &shared.ranks.group else { return };
+/// Reads the epoch of the group's lease from the object API, and retries until that succeeds.
+pub async fn read_epoch(shared: Arc<Shared>) {
+    let Some(group) = &shared.epoch_fence.group else { return };
     let name = LeaseRecord::name_of(&group.name);
     loop {
         let read = shared.context.objects.get::<LeaseRecord>(Collection::Leases, &name).await;
@@ -41,36 +40,37 @@
             Ok(object) => object.spec.epoch,
             Err(ObjectError::NotFound(_)) => 0,
             Err(_) => {
-                time::sleep(LEARN_RETRY).await;
+                time::sleep(READ_RETRY).await;
                 continue;
             }
         };
-        let mut highest = shared.ranks.highest.lock().await;
+        let mut highest = shared.epoch_fence.highest.lock().await;
         *highest = Some((epoch, 0));
-        slog::info!(shared.context.log, "learned the group's epoch";
+        slog::info!(shared.context.log, "read the epoch of the group's lease";
             "group" => &group.name, "epoch" => epoch);
         return;
     }
 }
 
-/// Carries an order out, or refuses it.
-pub async fn order(shared: &Shared, order: &RankOrder) -> RankReply {
-    if !is_mine(shared.ranks.group.as_ref(), order) {
+/// Forwards an order to the engine, or rejects it with [`RankReply::NotReady`].
+pub async fn forward_order(shared: &Shared, order: &RankOrder) -> RankReply {
+    if !is_addressed(shared.epoch_fence.group.as_ref(), order) {
         return RankReply::NotReady;
     }
-    let mut highest = shared.ranks.highest.lock().await;
+    let mut highest = shared.epoch_fence.highest.lock().await;
     let Some(known) = *highest else { return RankReply::NotReady };
-    let given = (order.order.epoch, order.order.round);
-    if given < known {
-        slog::warn!(shared.context.log, "refused an order of an earlier epoch";
+    let received = (order.order.epoch, order.order.round);
+    if received < known {
+        slog::warn!(shared.context.log, "rejected a rank order of an earlier epoch or round";
             "group" => &order.group, "epoch" => order.order.epoch, "known" => known.0);
         return RankReply::NotReady;
     }
-    *highest = Some(given);
-    shared.engine.order(order).await.unwrap_or(RankReply::NotReady)
+    *highest = Some(received);
+    shared.engine.send_order(order).await.unwrap_or(RankReply::NotReady)
 }
 
-fn is_mine(group: Option<&GroupSpec>, order: &RankOrder) -> bool {
+/// Returns whether an order is for a rank at this server.
+fn is_addressed(group: Option<&GroupSpec>, order: &RankOrder) -> bool {
     group.is_some_and(|group| {
         let ranks = group.first..group.first + group.ranks;
         group.name == order.group && ranks.contains(&order.rank)
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -1,12 +1,12 @@
-//! The requests at an agent: those that wait and those that run.
+//! The queued and running requests of an agent.
 //!
-//! One lock holds queue and ledger together, since each change of one is a
-//! change of the other. Nothing waits under it.
+//! The queue and the deduplication table are behind one lock, as they change together. The lock is
+//! never held across an `await`.
 
 use super::{
     AgentOptions,
-    answer::{Answer, End},
-    engine_report::Report,
+    answer::{Answer, AnswerEnd},
+    engine_report::EngineReport,
 };
 use crate::Context;
 use mastweir_core::{
@@ -21,41 +21,40 @@
     time::Duration,
 };
 
-/// Part of the newest reading in the smoothed speed of a slot.
-const SPEED_SMOOTH: f64 = 0.1;
-/// Least room for what waits, in units.
-const ROOM_MIN: u32 = 1_000;
-/// Speed of a slot before any request has ended, in units a second.
-const SPEED_FIRST: f64 = 100.0;
+/// Weight of the latest request in the smoothed rate of a slot.
+const RATE_SMOOTHING: f64 = 0.1;
+/// Minimum limit of the queue's backlog, in units.
+const BACKLOG_MIN: u32 = 1_000;
+/// Assumed rate of a slot before the first answer, in units per second.
+const INITIAL_RATE: f64 = 100.0;
 
 /// A request at the agent.
 #[derive(Debug)]
 pub struct Job {
-    /// The order.
+    /// The frame that submitted the request.
     pub start: Start,
-    /// Its body.
     pub body: Vec<u8>,
-    /// Its answer.
     pub answer: Arc<Answer>,
-    /// When it is void, on the agent's clock.
+    /// Time on the agent's clock after which the request expires.
     pub deadline: Uptime,
 }
 
 #[derive(Debug)]
 struct State {
     queue: FairQueue<CustomerTag, Arc<Job>>,
-    ledger: DedupTable<Arc<Answer>>,
+    dedup: DedupTable<Arc<Answer>>,
     running: u16,
     leaving: bool,
-    /// Until then the engine wants no requests.
-    backs_off: Uptime,
-    speed: f64,
-    /// Mean units that a running request has left: half of what it costs.
-    each: f64,
-    engine: Report,
+    /// End of the backoff that the engine requested; in the past if there is none.
+    backoff_until: Uptime,
+    /// Units per second of a slot, smoothed.
+    slot_rate: f64,
+    /// Mean remaining units of a running request: half of the mean cost, smoothed.
+    mean_remaining: f64,
+    engine_report: EngineReport,
 }
 
-/// All requests at the agent.
+/// See the [module](self).
 #[derive(Debug)]
 pub struct Jobs {
     state: Mutex<State>,
@@ -65,17 +64,16 @@
 }
 
 impl Jobs {
-    /// No requests yet.
     pub fn new(context: &Context, options: &AgentOptions) -> Self {
         let state = State {
             queue: FairQueue::new(options.queue),
-            ledger: DedupTable::new(context.incarnation, DedupLimits::default()),
+            dedup: DedupTable::new(context.incarnation, DedupLimits::default()),
             running: 0,
             leaving: false,
-            backs_off: Uptime::default(),
-            speed: SPEED_FIRST,
-            each: SPEED_FIRST / 2.0,
-            engine: Report::default(),
+            backoff_until: Uptime::default(),
+            slot_rate: INITIAL_RATE,
+            mean_remaining: INITIAL_RATE / 2.0,
+            engine_report: EngineReport::default(),
         };
         Self {
             state: Mutex::new(state),
@@ -85,11 +83,11 @@
         }
     }
 
-    /// Takes an order in: queues it, joins it to what is there, or refuses it.
+    /// Queues a request, joins it to an earlier submission of the same operation, or refuses it.
     ///
     /// # Errors
     ///
-    /// Why it is refused.
+    /// The reason for the refusal.
     pub fn admit(&self, start: Start, body: Vec<u8>) -> Result<Arc<Job>, Refusal> {
         let now = self.context.clock.now();
         let deadline = now + Duration::from_millis(u64::from(start.deadline_ms));
@@ -101,38 +99,38 @@
             return Err(Refusal::OtherIncarnation);
         }
         if !job.start.repeatable {
-            match state.ledger.admit(&order(&job.start), now, job.answer.clone()) {
+            match state.dedup.admit(&dedup_order(&job.start), now, job.answer.clone()) {
                 Verdict::Run => (),
                 Verdict::Join(answer) => {
                     job.answer = answer;
                     return Ok(Arc::new(job));
                 }
-                Verdict::Refuse(why) => return Err(why),
+                Verdict::Refuse(reason) => return Err(reason),
             }
         }
         let job = Arc::new(job);
         match self.enqueue(&mut state, &job, now) {
             Ok(()) => Ok(job),
-            Err(why) => {
-                state.ledger.cancel(job.start.op, why);
-                Err(why)
+            Err(reason) => {
+                state.dedup.cancel(job.start.op, reason);
+                Err(reason)
             }
         }
     }
 
-    /// Takes the next request out of the queue if a slot is free.
+    /// Removes the next request from the queue if a slot is free, and counts it as running.
     pub fn take_next(&self) -> Option<Arc<Job>> {
         let mut state = self.lock();
         let now = self.context.clock.now();
         expire(&mut state, now);
         while state.running < self.slots {
-            let entry = state.queue.pop()?;
-            let job = entry.item;
-            if !job.start.repeatable && !state.ledger.start(job.start.op) {
+            let queued = state.queue.pop()?;
+            let job = queued.item;
+            if !job.start.repeatable && !state.dedup.start(job.start.op) {
                 continue;
             }
             if job.answer.is_cancelled() {
-                finish(&mut state, &job, End::Refused(Refusal::Withdrawn));
+                finish(&mut state, &job, AnswerEnd::Refused(Refusal::Withdrawn));
                 continue;
             }
             state.running += 1;
@@ -141,91 +139,92 @@
         None
     }
 
-    /// A request that ran has ended, `took` after it was begun.
-    pub fn ended(&self, job: &Job, end: End, took: Duration) {
+    /// Records the end of a request that ran for `duration`.
+    pub fn record_end(&self, job: &Job, end: AnswerEnd, duration: Duration) {
         let mut state = self.lock();
         state.running -= 1;
         let actual = match end {
-            End::Whole(spent) => spent.units,
-            // Charged for what it used. Its first units may have come from
-            // another server, and were charged there.
-            End::Broken | End::EngineEnded => {
-                job.start.units(job.answer.units().saturating_sub(job.start.from))
+            AnswerEnd::Complete(cost) => cost.units,
+            // Charges the chunks that were generated here. Another server may have generated
+            // those before `from`, and has charged them.
+            AnswerEnd::Broken | AnswerEnd::EngineCrashed => {
+                job.start.units(job.answer.chunk_count().saturating_sub(job.start.from))
             }
-            End::Refused(_) => 0,
+            AnswerEnd::Refused(_) => 0,
         };
         let customer = CustomerTag::of(&job.start.customer);
         state.queue.settle(customer, job.start.weight, job.start.cost, actual);
-        if let End::Whole(spent) = end {
-            let speed = f64::from(spent.units) / took.as_secs_f64().max(1e-3);
-            state.speed += SPEED_SMOOTH * (speed - state.speed);
-            state.each += SPEED_SMOOTH * (f64::from(spent.units) / 2.0 - state.each);
-            let rate = state.speed * f64::from(self.slots);
-            state.queue.set_backlog_limit((rate * WAIT_MAX_S).max(f64::from(ROOM_MIN)) as u64);
+        if let AnswerEnd::Complete(cost) = end {
+            let slot_rate = f64::from(cost.units) / duration.as_secs_f64().max(1e-3);
+            state.slot_rate += RATE_SMOOTHING * (slot_rate - state.slot_rate);
+            state.mean_remaining +=
+                RATE_SMOOTHING * (f64::from(cost.units) / 2.0 - state.mean_remaining);
+            let rate = state.slot_rate * f64::from(self.slots);
+            state.queue.set_backlog_limit((rate * WAIT_MAX_S).max(f64::from(BACKLOG_MIN)) as u64);
         }
         finish(&mut state, job, end);
     }
 
-    /// Withdraws a request that nobody waits for. A request that runs and may
-    /// not be repeated goes on, so that a later connection finds its answer.
+    /// Withdraws a request whose entry has cancelled it (`cancel`) or has disconnected. A running
+    /// at-most-once operation continues after a disconnect, so that a later submission gets its
+    /// answer.
     pub fn abandon(&self, job: &Job, cancel: bool) {
         let mut state = self.lock();
-        let same = |entry: &QueuedRequest<CustomerTag, Arc<Job>>| {
+        let is_same = |entry: &QueuedRequest<CustomerTag, Arc<Job>>| {
             Arc::ptr_eq(&entry.item.answer, &job.answer)
         };
-        let waited = !state.queue.remove_if(same).is_empty();
-        if waited {
-            finish(&mut state, job, End::Refused(Refusal::Withdrawn));
+        let was_queued = !state.queue.remove_if(is_same).is_empty();
+        if was_queued {
+            finish(&mut state, job, AnswerEnd::Refused(Refusal::Withdrawn));
         } else if cancel || job.start.repeatable {
             job.answer.cancel();
         }
     }
 
-    /// Takes nothing new from now on, and sends away what waits.
-    pub fn leave(&self) {
+    /// Refuses all new and queued requests from now on.
+    pub fn stop_accepting(&self) {
         let mut state = self.lock();
         state.leaving = true;
         for entry in state.queue.remove_if(|_| true) {
-            finish(&mut state, &entry.item, End::Refused(Refusal::Leaving));
+            finish(&mut state, &entry.item, AnswerEnd::Refused(Refusal::Leaving));
         }
     }
 
-    /// The engine wants no requests for a time: what waits is sent away, and what comes
-    /// meanwhile, so that other servers take it.
+    /// Refuses queued requests, and new ones for a time, as the engine requested. Entries then
+    /// send them to other servers.
     pub fn back_off(&self, wait: Duration) {
         let mut state = self.lock();
-        state.backs_off = state.backs_off.max(self.context.clock.now() + wait);
+        state.backoff_until = state.backoff_until.max(self.context.clock.now() + wait);
         for entry in state.queue.remove_if(|_| true) {
-            finish(&mut state, &entry.item, End::Refused(Refusal::Overloaded));
+            finish(&mut state, &entry.item, AnswerEnd::Refused(Refusal::Overloaded));
         }
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u16 {
         self.lock().running
     }
 
-    /// Whether nothing runs and nothing waits.
+    /// Returns whether no request is running or queued.
     pub fn is_idle(&self) -> bool {
         let state = self.lock();
         state.running == 0 && state.queue.is_empty()
     }
 
-    /// What the engine said of itself.
-    pub fn set_engine(&self, report: Report) {
-        self.lock().engine = report;
+    pub fn set_engine_report(&self, report: EngineReport) {
+        self.lock().engine_report = report;
     }
 
-    /// Sends away what has waited too long.
+    /// Refuses queued requests whose deadline has passed.
     pub fn expire(&self) {
         let now = self.context.clock.now();
         expire(&mut self.lock(), now);
     }
 
-    /// The agent's report.
+    /// Returns the load report of the server.
     pub fn load(&self) -> Load {
         let state = self.lock();
-        let rate = state.speed * f64::from(self.slots);
+        let rate = state.slot_rate * f64::from(self.slots);
         Load {
             incarnation: self.context.incarnation,
             uptime: self.context.clock.now(),
@@ -234,12 +233,12 @@
             slots: self.slots,
             backlog: u32::try_from(state.queue.backlog()).unwrap_or(u32::MAX),
             rate: rate as u32,
-            mean_remaining: state.each as u32,
-            step_us: state.engine.step_us,
-            skew: state.engine.skew,
-            kv_free: state.engine.kv_free,
-            map_version: state.engine.map,
-            rank_incarnations: state.engine.lives,
+            mean_remaining: state.mean_remaining as u32,
+            step_us: state.engine_report.step_us,
+            skew: state.engine_report.skew,
+            kv_free: state.engine_report.kv_free,
+            map_version: state.engine_report.map,
+            rank_incarnations: state.engine_report.lives,
             leaving: state.leaving,
         }
     }
@@ -251,9 +250,8 @@
         if !self.services.contains(&job.start.service) {
             return Err(Refusal::NotServed);
         }
-        // Its 503 was about the engine, not about the one request that met it: 33 of 33
-        // requests went there in 3 s that it wanted without any (a test's engine).
-        if state.backs_off > now {
+        // A backoff applies to the engine, not just to the request that it was sent for.
+        if state.backoff_until > now {
             return Err(Refusal::Overloaded);
         }
         if job.deadline <= now {
@@ -269,8 +267,8 @@
         };
         match state.queue.enqueue(entry) {
             EnqueueResult::Queued => Ok(()),
-            EnqueueResult::Evicted(other) => {
-                finish(state, &other, End::Refused(Refusal::Overloaded));
+            EnqueueResult::Evicted(evicted) => {
+                finish(state, &evicted, AnswerEnd::Refused(Refusal::Overloaded));
                 Ok(())
             }
             EnqueueResult::Full(_) => Err(Refusal::Overloaded),
@@ -282,27 +280,27 @@
     }
 }
 
-/// The ledger's view of an order.
-fn order(start: &Start) -> Order {
+/// Returns what the deduplication table needs of a request.
+fn dedup_order(start: &Start) -> Order {
     Order { op: start.op, incarnation: start.fence.incarnation, expires: start.expires }
 }
 
-/// Writes an end to ledger and answer; the ledger first, since whoever reads
-/// the end may act on it.
-fn finish(state: &mut State, job: &Job, end: End) {
+/// Records an end in the deduplication table and then in the answer, whose readers may submit the
+/// operation again at once.
+fn finish(state: &mut State, job: &Job, end: AnswerEnd) {
     if !job.start.repeatable {
-        note(&mut state.ledger, job.start.op, end, job.answer.size());
+        record_outcome(&mut state.dedup, job.start.op, end, job.answer.size());
     }
     job.answer.end(end);
 }
 
-fn note(ledger: &mut DedupTable<Arc<Answer>>, op: OpId, end: End, size: usize) {
+fn record_outcome(dedup: &mut DedupTable<Arc<Answer>>, op: OpId, end: AnswerEnd, size: usize) {
     match end {
-        End::Whole(_) => ledger.finish(op, size),
-        End::Broken | End::EngineEnded => ledger.mark_incomplete(op),
-        End::Refused(why) => {
-            if !ledger.cancel(op, why) {
-                ledger.cancel_started(op, why);
+        AnswerEnd::Complete(_) => dedup.finish(op, size),
+        AnswerEnd::Broken | AnswerEnd::EngineCrashed => dedup.mark_incomplete(op),
+        AnswerEnd::Refused(reason) => {
+            if !dedup.cancel(op, reason) {
+                dedup.cancel_started(op, reason);
             }
         }
     }
@@ -310,7 +308,7 @@
 
 fn expire(state: &mut State, now: Uptime) {
     for entry in state.queue.expire(now) {
-        finish(state, &entry.item, End::Refused(Refusal::Deadline));
+        finish(state, &entry.item, AnswerEnd::Refused(Refusal::Deadline));
     }
-    state.ledger.expire(now);
+    state.dedup.expire(now);
 }
--- a/src/mastweir/agent/mod.rs
+++ b/src/mastweir/agent/mod.rs
@@ -1,11 +1,11 @@
-//! The agent: the small process in a server's slot.
+//! The agent: a process next to each server that accepts requests from entries for it.
 //!
-//! Entries open channels to it and hand it orders. It decides who is served
-//! next (a [`FairQueue`]), makes sure that what may not be repeated runs at
-//! most once (a [`DedupTable`]), calls the engine or plain service beside it, and
-//! writes the answer where the order's connection, and any that joins it, reads
-//! it ([`answer::Answer`]). It needs the platform only to learn the epoch of
-//! its rank group's lease.
+//! Entries open channels to the agent and submit requests. The agent queues them fairly by
+//! customer ([`FairQueue`]), runs operations that must not be repeated at most once
+//! ([`DedupTable`]), and calls the engine or plain service over HTTP. The answer is buffered
+//! ([`answer::Answer`]) for the channel that submitted the request and for any later channel that
+//! submits the same operation. The platform is needed only to read the epoch of the rank group's
+//! lease.
 //!
 //! [`FairQueue`]: mastweir_core::share::FairQueue
 //! [`DedupTable`]: mastweir_core::outcome::DedupTable
@@ -15,7 +15,6 @@
 mod engine_report;
 mod epoch_fence;
 mod jobs;
-
 mod reports;
 mod runner;
 mod serve;
@@ -28,43 +27,42 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::{net::TcpListener, sync::watch, task::JoinSet, time};
 
-/// How an agent is set up.
 #[derive(Clone, Debug)]
 pub struct AgentOptions {
-    /// Address to listen at, for channels and datagrams; port 0 chooses one.
+    /// Address for channels and datagrams; port 0 chooses a free port.
     pub listen: SocketAddr,
     /// Base address of the engine or plain service.
     pub engine: String,
-    /// Services that it serves.
+    /// Names of the services of the server.
     pub services: Vec<String>,
-    /// Requests that run in it at once at most.
+    /// Maximum requests that run at the same time.
     pub slots: u16,
-    /// Requests that wait at most.
+    /// Maximum length of the queue.
     pub queue: usize,
-    /// The part of a rank group that the server holds.
+    /// The ranks of a group that the server holds; `None` outside of groups.
     pub group: Option<GroupSpec>,
-    /// Time that running requests have at a planned stop.
+    /// Time for requests in flight to complete at a graceful stop.
     pub grace: Duration,
 }
 
-/// A running agent.
+/// A running agent. See the [module](self).
 #[derive(Debug)]
 pub struct Agent {
-    /// Where it listens for channels.
+    /// Address for channels.
     pub tcp: SocketAddr,
-    /// Where it listens for datagrams.
+    /// Address for datagrams.
     pub udp: SocketAddr,
     shared: Arc<Shared>,
     tasks: JoinSet<()>,
 }
 
-/// What the agent's tasks share.
+/// State shared by the agent's tasks.
 #[derive(Debug)]
 pub(crate) struct Shared {
     context: Context,
     options: AgentOptions,
     jobs: jobs::Jobs,
-    ranks: epoch_fence::Ranks,
+    epoch_fence: epoch_fence::EpochFence,
     engine: engine::Engine,
     socket: Socket,
     subscribers: reports::Subscribers,
@@ -76,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// The address can't be used.
+    /// The address can't be bound.
     pub async fn start(context: Context, options: AgentOptions) -> eyre::Result<Self> {
         let listener = TcpListener::bind(options.listen).await?;
         let tcp = listener.local_addr()?;
@@ -85,13 +83,13 @@
         let udp = socket.local_addr()?;
         let engine = engine::Engine::new(&options.engine)?;
         let jobs = jobs::Jobs::new(&context, &options);
-        let ranks = epoch_fence::Ranks::new(options.group.clone());
+        let epoch_fence = epoch_fence::EpochFence::new(options.group.clone());
         let (stop, _) = watch::channel(false);
         let shared = Arc::new(Shared {
             context,
             options,
             jobs,
-            ranks,
+            epoch_fence,
             engine,
             socket,
             subscribers: reports::Subscribers::default(),
@@ -99,27 +97,27 @@
         });
         let mut tasks = JoinSet::new();
         tasks.spawn(serve::accept(shared.clone(), listener));
-        tasks.spawn(reports::answer_subscribers(shared.clone()));
-        tasks.spawn(reports::send(shared.clone()));
-        tasks.spawn(runner::poll(shared.clone()));
-        tasks.spawn(epoch_fence::learn(shared.clone()));
-        slog::info!(shared.context.log, "agent listens"; "tcp" => %tcp, "udp" => %udp,
+        tasks.spawn(reports::receive_subscriptions(shared.clone()));
+        tasks.spawn(reports::send_due(shared.clone()));
+        tasks.spawn(runner::poll_engine(shared.clone()));
+        tasks.spawn(epoch_fence::read_epoch(shared.clone()));
+        slog::info!(shared.context.log, "agent listening"; "tcp" => %tcp, "udp" => %udp,
             "incarnation" => shared.context.incarnation.0);
         Ok(Self { tcp, udp, shared, tasks })
     }
 
-    /// Datagrams of its control traffic so far.
+    /// Returns the datagrams sent and received.
     pub fn traffic(&self) -> Traffic {
         self.shared.socket.traffic()
     }
 
-    /// Stops as planned: takes nothing new, says so, and ends when all that
-    /// runs has ended, or its time is over.
+    /// Stops gracefully: rejects new requests, reports this to subscribers, and waits for those
+    /// that run, up to the grace time.
     pub async fn stop(mut self) {
         let shared = self.shared.clone();
-        slog::info!(shared.context.log, "agent leaves"; "running" => shared.jobs.running());
-        shared.jobs.leave();
-        reports::tell_all(&shared).await;
+        slog::info!(shared.context.log, "agent stopping"; "running" => shared.jobs.running());
+        shared.jobs.stop_accepting();
+        reports::send_to_all(&shared).await;
         let idle = async {
             while !shared.jobs.is_idle() {
                 time::sleep(Duration::from_millis(20)).await;
@@ -128,10 +126,10 @@
         let in_time = time::timeout(shared.options.grace, idle).await.is_ok();
         let _ = shared.stop.send(true);
         self.tasks.shutdown().await;
-        slog::info!(shared.context.log, "agent has left"; "all_ended" => in_time);
+        slog::info!(shared.context.log, "agent stopped"; "all_ended" => in_time);
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, as in a crash.
     pub async fn kill(mut self) {
         let _ = self.shared.stop.send(true);
         self.tasks.shutdown().await;
--- a/src/mastweir/agent/reports.rs
+++ b/src/mastweir/agent/reports.rs
@@ -1,7 +1,7 @@
-//! Reports to the entries that asked for them.
+//! Sends load reports to the entries that subscribe to them.
 //!
-//! An entry that subscribes hears from the agent for a while, as often as it
-//! asked for; what rode on a reply need not be sent again.
+//! An entry subscribes with a datagram that names the interval between reports, and renews the
+//! subscription before it expires.
 
 use super::Shared;
 use mastweir_core::{time::Uptime, wire::Packet};
@@ -13,58 +13,58 @@
 };
 use tokio::time;
 
-/// Time that a subscription lasts, in the intervals it asked for.
-const TERM: u32 = 4;
+/// Duration of a subscription in its report intervals, and the minimum.
+const TERM_INTERVALS: u32 = 4;
 const TERM_MIN: Duration = Duration::from_secs(12);
-const TICK: Duration = Duration::from_millis(100);
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 const INTERVAL_MIN: Duration = Duration::from_millis(200);
 const SUBSCRIBERS_MAX: usize = 1_024;
 
-/// Who asked.
 #[derive(Clone, Copy, Debug)]
 struct Subscriber {
     interval: Duration,
-    until: Uptime,
-    due: Uptime,
+    expires: Uptime,
+    next_report: Uptime,
 }
 
-/// All who asked, by address.
+/// Current subscriptions by address of the subscriber.
 #[derive(Debug, Default)]
 pub struct Subscribers {
-    all: Mutex<HashMap<SocketAddr, Subscriber>>,
+    by_addr: Mutex<HashMap<SocketAddr, Subscriber>>,
 }
 
 impl Subscribers {
     fn add(&self, addr: SocketAddr, interval: Duration, now: Uptime) {
         let interval = interval.max(INTERVAL_MIN);
-        let until = now + (interval * TERM).max(TERM_MIN);
-        let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
-        if all.len() >= SUBSCRIBERS_MAX && !all.contains_key(&addr) {
+        let expires = now + (interval * TERM_INTERVALS).max(TERM_MIN);
+        let mut by_addr = self.by_addr.lock().unwrap_or_else(PoisonError::into_inner);
+        if by_addr.len() >= SUBSCRIBERS_MAX && !by_addr.contains_key(&addr) {
             return;
         }
-        let due = all.get(&addr).map_or(now, |subscriber| subscriber.due);
-        all.insert(addr, Subscriber { interval, until, due });
+        let next_report = by_addr.get(&addr).map_or(now, |subscriber| subscriber.next_report);
+        by_addr.insert(addr, Subscriber { interval, expires, next_report });
     }
 
-    fn due(&self, now: Uptime) -> Vec<SocketAddr> {
-        let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
-        all.retain(|_, subscriber| subscriber.until > now);
+    /// Returns the subscribers whose report is due, and schedules their next one.
+    fn take_due(&self, now: Uptime) -> Vec<SocketAddr> {
+        let mut by_addr = self.by_addr.lock().unwrap_or_else(PoisonError::into_inner);
+        by_addr.retain(|_, subscriber| subscriber.expires > now);
         let mut due = Vec::new();
-        for (addr, subscriber) in all.iter_mut().filter(|(_, s)| s.due <= now) {
-            subscriber.due = now + subscriber.interval;
+        for (addr, subscriber) in by_addr.iter_mut().filter(|(_, s)| s.next_report <= now) {
+            subscriber.next_report = now + subscriber.interval;
             due.push(*addr);
         }
         due
     }
 
-    fn every(&self) -> Vec<SocketAddr> {
-        let all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
-        all.keys().copied().collect()
+    fn addrs(&self) -> Vec<SocketAddr> {
+        let by_addr = self.by_addr.lock().unwrap_or_else(PoisonError::into_inner);
+        by_addr.keys().copied().collect()
     }
 }
 
-/// Takes subscriptions in.
-pub async fn answer_subscribers(shared: Arc<Shared>) {
+/// Receives subscriptions.
+pub async fn receive_subscriptions(shared: Arc<Shared>) {
     while let Ok(received) = shared.socket.recv().await {
         if let Packet::Subscribe { every_ms } = received.datagram.packet {
             let interval = Duration::from_millis(u64::from(every_ms));
@@ -74,19 +74,19 @@
     }
 }
 
-/// Sends reports that are due.
-pub async fn send(shared: Arc<Shared>) {
+/// Sends reports when they are due.
+pub async fn send_due(shared: Arc<Shared>) {
     loop {
-        time::sleep(TICK).await;
-        let due = shared.subscribers.due(shared.context.clock.now());
+        time::sleep(CHECK_PERIOD).await;
+        let due = shared.subscribers.take_due(shared.context.clock.now());
         send_to(&shared, &due).await;
     }
 }
 
-/// Sends a report to all at once.
-pub async fn tell_all(shared: &Shared) {
-    let every = shared.subscribers.every();
-    send_to(shared, &every).await;
+/// Sends a report to all subscribers immediately.
+pub async fn send_to_all(shared: &Shared) {
+    let addrs = shared.subscribers.addrs();
+    send_to(shared, &addrs).await;
 }
 
 async fn send_to(shared: &Shared, addrs: &[SocketAddr]) {
--- a/src/mastweir/agent/runner.rs
+++ b/src/mastweir/agent/runner.rs
@@ -1,62 +1,62 @@
-//! Runs what waits in the engine beside, and asks that for its load.
+//! Runs queued requests in the engine, and polls the engine for its load.
 
-use super::{Shared, answer::End, engine, jobs::Job};
+use super::{Shared, answer::AnswerEnd, engine, jobs::Job};
 use std::{sync::Arc, time::Duration};
 use tokio::time;
 
-/// How often the engine is asked for its load.
-const POLL: Duration = Duration::from_millis(500);
-/// Time for it to answer that.
-const POLL_TIME: Duration = Duration::from_secs(1);
+/// Time between polls of the engine's load.
+const POLL_PERIOD: Duration = Duration::from_millis(500);
+const POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the engine for its load, again and again.
-pub async fn poll(shared: Arc<Shared>) {
+/// Polls the engine's load, and expires queued requests, periodically.
+pub async fn poll_engine(shared: Arc<Shared>) {
     loop {
-        time::sleep(POLL).await;
+        time::sleep(POLL_PERIOD).await;
         shared.jobs.expire();
-        if let Some(report) = shared.engine.report(POLL_TIME).await {
-            shared.jobs.set_engine(report);
+        if let Some(report) = shared.engine.load(POLL_TIMEOUT).await {
+            shared.jobs.set_engine_report(report);
         }
     }
 }
 
-/// A request's answer. Where that broke off it tells whether the engine ended under it, so
-/// that the entry sends it to no other behind two of them.
-async fn answer(shared: &Shared, job: &Job) -> End {
-    let backs_off = |wait: Duration| {
-        slog::info!(shared.context.log, "engine wants no requests for a time";
+/// Runs a request in the engine. If the answer breaks off, probes whether the engine crashed: the
+/// entry quarantines a request that crashes engines.
+async fn run_in_engine(shared: &Shared, job: &Job) -> AnswerEnd {
+    let on_backoff = |wait: Duration| {
+        slog::info!(shared.context.log, "engine requested a backoff; rejecting requests until it ends";
             "request" => &job.start.request, "wait_ms" => wait.as_millis() as u64);
         shared.jobs.back_off(wait);
     };
-    match engine::answer(&shared.engine, job, backs_off).await {
-        End::Broken if shared.engine.has_ended().await => {
-            slog::warn!(shared.context.log, "engine ended under a request";
+    match engine::run(&shared.engine, job, on_backoff).await {
+        AnswerEnd::Broken if shared.engine.has_crashed().await => {
+            slog::warn!(shared.context.log, "engine crashed while running a request";
                 "request" => &job.start.request, "customer" => &job.start.customer);
-            End::EngineEnded
+            AnswerEnd::EngineCrashed
         }
         end => end,
     }
 }
 
-/// Runs a request in the engine, then lets the next one begin.
-async fn run(shared: Arc<Shared>, job: Arc<Job>) {
-    let begun = shared.context.clock.now();
+/// Runs a request until its answer ends, its deadline passes or it is cancelled, then starts the
+/// next one.
+async fn run_job(shared: Arc<Shared>, job: Arc<Job>) {
+    let started = shared.context.clock.now();
     let end = tokio::select! {
-        end = shared.context.clock.timeout_at(job.deadline, answer(&shared, &job)) => {
-            end.unwrap_or(End::Broken)
+        end = shared.context.clock.timeout_at(job.deadline, run_in_engine(&shared, &job)) => {
+            end.unwrap_or(AnswerEnd::Broken)
         }
-        () = job.answer.cancelled() => End::Broken,
+        () = job.answer.cancelled() => AnswerEnd::Broken,
     };
-    let took = shared.context.clock.now().since(begun);
+    let duration = shared.context.clock.now().since(started);
     slog::debug!(shared.context.log, "request ended"; "request" => &job.start.request,
-        "end" => ?end, "took_ms" => took.as_millis());
-    shared.jobs.ended(&job, end, took);
-    pump(&shared);
+        "end" => ?end, "took_ms" => duration.as_millis());
+    shared.jobs.record_end(&job, end, duration);
+    start_queued(&shared);
 }
 
-/// Begins as many requests as there are free slots.
-pub fn pump(shared: &Arc<Shared>) {
+/// Starts queued requests while slots are free.
+pub fn start_queued(shared: &Arc<Shared>) {
     while let Some(job) = shared.jobs.take_next() {
-        tokio::spawn(run(shared.clone(), job));
+        tokio::spawn(run_job(shared.clone(), job));
     }
 }
--- a/src/mastweir/agent/serve.rs
+++ b/src/mastweir/agent/serve.rs
@@ -1,8 +1,11 @@
-//! Channels from entries: orders in, answers out.
+//! Serves the channels of entries: receives requests and rank orders, and sends answers.
+//!
+//! A channel carries one exchange at a time: a request with its answer, or a rank order with its
+//! reply.
 
 use super::{
     Shared,
-    answer::{End, Item},
+    answer::{AnswerEnd, Item},
     epoch_fence,
     jobs::Job,
     runner,
@@ -16,26 +19,26 @@
     time,
 };
 
-/// Channels at once at most.
+/// Maximum open channels.
 const CHANNELS_MAX: usize = 4_096;
-/// Time that an order's body may take.
-const BODY_TIME: Duration = Duration::from_secs(5);
+/// Time in which the body of a request has to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Takes connections until the agent stops.
+/// Accepts connections until the agent stops.
 pub async fn accept(shared: Arc<Shared>, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(CHANNELS_MAX));
+    let permits = Arc::new(Semaphore::new(CHANNELS_MAX));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors, say: others may give some back.
+            // For example out of file descriptors, which closing connections return.
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let Ok(permit) = room.clone().try_acquire_owned() else { continue };
+        let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let shared = shared.clone();
         tokio::spawn(async move {
             let mut stop = shared.stop.subscribe();
             tokio::select! {
-                () = connection(&shared, stream) => (),
+                () = serve_connection(&shared, stream) => (),
                 _ = stop.wait_for(|stop| *stop) => (),
             }
             drop(permit);
@@ -43,30 +46,30 @@
     }
 }
 
-async fn connection(shared: &Arc<Shared>, stream: TcpStream) {
+async fn serve_connection(shared: &Arc<Shared>, stream: TcpStream) {
     let mut channel = match Channel::accept(stream, &shared.context.secret).await {
         Ok(channel) => channel,
         Err(error) => {
             shared.context.metrics.count("channel.refused");
-            slog::debug!(shared.context.log, "refused a connection"; "error" => %error);
+            slog::debug!(shared.context.log, "connection rejected"; "error" => %error);
             return;
         }
     };
-    while exchange(shared, &mut channel).await.is_ok() {}
+    while serve_exchange(shared, &mut channel).await.is_ok() {}
 }
 
-/// One exchange: an order and its answer.
-async fn exchange(shared: &Arc<Shared>, channel: &mut Channel) -> Result<(), ChannelError> {
+/// Serves one exchange of a channel.
+async fn serve_exchange(shared: &Arc<Shared>, channel: &mut Channel) -> Result<(), ChannelError> {
     match channel.receiver.recv::<ToAgent>().await? {
         ToAgent::Start(start) => {
             let body = read_body(&mut channel.receiver, start.body_len).await?;
-            attempt(shared, channel, *start, body).await
+            serve_request(shared, channel, *start, body).await
         }
         ToAgent::Rank(order) => {
-            let reply = epoch_fence::order(shared, &order).await;
+            let reply = epoch_fence::forward_order(shared, &order).await;
             channel.sender.send(&FromAgent::Rank(reply)).await
         }
-        // A cancel that crossed with the end of its answer.
+        // The cancellation was sent before the end of the answer arrived.
         ToAgent::Cancel => Ok(()),
         ToAgent::Body(_) => Err(ChannelError::Closed),
     }
@@ -80,17 +83,18 @@
     let reading = async {
         let mut body = Vec::with_capacity(len);
         while body.len() < len {
-            let ToAgent::Body(piece) = receiver.recv().await? else {
+            let ToAgent::Body(chunk) = receiver.recv().await? else {
                 return Err(ChannelError::Closed);
             };
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
         Ok(body)
     };
-    time::timeout(BODY_TIME, reading).await.map_err(|_| ChannelError::Timeout)?
+    time::timeout(BODY_TIMEOUT, reading).await.map_err(|_| ChannelError::Timeout)?
 }
 
-async fn attempt(
+/// Admits a request, and sends its answer unless the entry cancels or disconnects.
+async fn serve_request(
     shared: &Arc<Shared>,
     channel: &mut Channel,
     start: Start,
@@ -99,12 +103,12 @@
     let from = start.from;
     let job = match shared.jobs.admit(start, body) {
         Ok(job) => job,
-        Err(why) => {
-            let refused = FromAgent::Refused(why, shared.jobs.load());
+        Err(reason) => {
+            let refused = FromAgent::Refused(reason, shared.jobs.load());
             return channel.sender.send(&refused).await;
         }
     };
-    runner::pump(shared);
+    runner::start_queued(shared);
     let result = tokio::select! {
         result = write_answer(shared, &mut channel.sender, &job, from) => result,
         cancel = wait_cancel(&mut channel.receiver) => {
@@ -118,7 +122,7 @@
     result
 }
 
-/// Waits until the entry cancels (true) or is gone (false).
+/// Waits until the entry cancels the request (true) or closes the channel (false).
 async fn wait_cancel(receiver: &mut Receiver) -> bool {
     matches!(receiver.recv::<ToAgent>().await, Ok(ToAgent::Cancel))
 }
@@ -132,7 +136,7 @@
     let mut reader = job.answer.reader(from);
     loop {
         let frame = match job.answer.next(&mut reader).await {
-            Item::Head(status, content) => FromAgent::Head { status, content_type: content },
+            Item::Head(status, content_type) => FromAgent::Head { status, content_type },
             Item::Chunk(at, bytes) => FromAgent::Chunk { at, bytes: bytes.to_vec() },
             Item::End(end) => return sender.send(&last_frame(shared, end)).await,
         };
@@ -140,12 +144,12 @@
     }
 }
 
-fn last_frame(shared: &Shared, end: End) -> FromAgent {
+fn last_frame(shared: &Shared, end: AnswerEnd) -> FromAgent {
     let load = shared.jobs.load();
     match end {
-        End::Whole(spent) => FromAgent::End(spent, load),
-        End::Broken => FromAgent::Broken(load),
-        End::EngineEnded => FromAgent::EngineCrashed(load),
-        End::Refused(why) => FromAgent::Refused(why, load),
+        AnswerEnd::Complete(cost) => FromAgent::End(cost, load),
+        AnswerEnd::Broken => FromAgent::Broken(load),
+        AnswerEnd::EngineCrashed => FromAgent::EngineCrashed(load),
+        AnswerEnd::Refused(reason) => FromAgent::Refused(reason, load),
     }
 }
