--- a/tests/testsuite/gateway_store.rs
+++ b/tests/testsuite/gateway_store.rs
@@ -1,4 +1,4 @@
-//! Gateways and the platform's store: what they hear from it, and from each other.
+//! Tests of what gateways get from the platform's store, and from each other without it.
 
 use super::gateway::{answer, start_fixture};
 use eyre::Result;
@@ -14,16 +14,16 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_the_store_turns_away_hears_from_another() -> Result<()> {
+async fn a_gateway_refused_by_the_store_fetches_from_a_peer() -> Result<()> {
     let site = Site::new(2)?;
     let server = Scripted::start(|got| vec![answer(got, "200 OK", "")]).await?;
     site.list("i-0", &server, "ready");
     site.configure(1, &[route("/old/", "safe")]);
     let (_, first) = site.door().await?;
     let (door, second) = site.door().await?;
-    let told = site.gateway(0, first.addr)?;
+    let peer = site.gateway(0, first.addr)?;
     let refused = site.gateway(1, second.addr)?;
-    told.wait_ready().await?;
+    peer.wait_ready().await?;
     refused.wait_ready().await?;
     door.shut.store(true, Ordering::SeqCst);
     site.configure_with_keys(2, &[route("/new/", "safe")], &["another"]);
@@ -31,17 +31,16 @@
         let bytes = request("GET", path, "r-1", "", "");
         exchange(refused.callers, &bytes).await.map_or(0, |reply| reply.status)
     };
-    // The route is new there, and the key was taken away.
+    // The new configuration has another route and no longer has the key.
     wait_for(async || status("/new/a").await == 401).await?;
     expect_that!(status("/old/a").await, eq(404));
-    // One that starts while it is turned away starts from the other.
     drop(refused);
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_without_the_store_starts_from_another() -> Result<()> {
+async fn a_gateway_starts_without_the_store_from_a_peer() -> Result<()> {
     let site = Site::new(2)?;
     let server = Scripted::start(|got| vec![answer(got, "200 OK", "")]).await?;
     site.list("i-0", &server, "ready");
@@ -49,18 +48,18 @@
     let (_, first) = site.door().await?;
     let (door, second) = site.door().await?;
     door.shut.store(true, Ordering::SeqCst);
-    let told = site.gateway(0, first.addr)?;
-    told.wait_ready().await?;
-    let late = site.gateway(1, second.addr)?;
-    late.wait_ready().await?;
-    let reply = exchange(late.callers, &request("GET", "/safe/a", "r-1", "", "")).await?;
+    let peer = site.gateway(0, first.addr)?;
+    peer.wait_ready().await?;
+    let started = site.gateway(1, second.addr)?;
+    started.wait_ready().await?;
+    let reply = exchange(started.callers, &request("GET", "/safe/a", "r-1", "", "")).await?;
     expect_that!(reply.status, eq(200));
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_forgets_its_history_is_listed_again() -> Result<()> {
+async fn a_store_without_history_is_listed_again() -> Result<()> {
     let world = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
     world.site.platform.set_down(true);
     world.site.configure(2, &[route("/second/", "safe")]);
@@ -71,10 +70,10 @@
         .await
 }
 
-/// Each call to the store is paid for, by every gateway.
+/// The platform bills each call of each gateway.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_start_together_cost_a_few_calls() -> Result<()> {
+async fn servers_that_start_together_cost_few_calls() -> Result<()> {
     const STARTED: u64 = 40;
     let world = start_fixture(vec![Box::new(|got| vec![answer(got, "200 OK", "")])]).await?;
     let (before, began) = (world.site.platform.calls(), Instant::now());
@@ -88,8 +87,7 @@
         async || exchange(world.gateway.callers, &bytes).await.is_ok_and(|r| r.status == 200);
     wait_for(served).await?;
     let calls = u128::from(world.site.platform.calls() - before);
-    // However long it took: a call in the time for which changes are gathered, and
-    // those for the configuration.
+    // One call per pause between watches, and the calls for the configuration.
     expect_that!(calls, le(5 + began.elapsed().as_millis() / 200));
     Ok(())
 }
--- a/tests/testsuite/circles.rs
+++ b/tests/testsuite/gossip_loops.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other ends: nothing goes round among them for ever.
+//! Tests that messages between gateways do not loop.
 
 use eyre::Result;
 use googletest::prelude::*;
@@ -11,7 +11,7 @@
     time::{Instant, timeout_at},
 };
 
-/// A gateway as another process sees it.
+/// A gateway, and the addresses of its simulated peers.
 struct World {
     site: Site,
     _gateway: Running,
@@ -35,29 +35,29 @@
         self.site.internal(0)
     }
 
-    async fn say(&self, from: &UdpSocket, message: &Message) -> Result<()> {
+    async fn send(&self, from: &UdpSocket, message: &Message) -> Result<()> {
         from.send_to(&postcard::to_stdvec(message)?, self.gateway()).await?;
         Ok(())
     }
 }
 
-fn hello(hall: &str, asks: bool, follows: bool) -> Message {
+fn hello(hall: &str, wants_reply: bool, is_follower: bool) -> Message {
     Message::Hello(Hello {
         hall: hall.to_owned(),
         power: 100,
         config: 0,
         directory: Revision::default(),
         leaving: false,
-        wants_reply: asks,
-        is_follower: follows,
+        wants_reply,
+        is_follower,
         hall_size: 1,
         fleet_size: 1,
         known_peers: Vec::new(),
     })
 }
 
-/// What comes to a socket in half a second.
-async fn heard(socket: &UdpSocket) -> Vec<Message> {
+/// Returns the messages that a socket receives in half a second.
+async fn receive(socket: &UdpSocket) -> Vec<Message> {
     let end = Instant::now() + Duration::from_millis(500);
     let mut buffer = [0; 2_048];
     let mut messages = Vec::new();
@@ -69,34 +69,38 @@
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_coordinators_word_is_told_on_once() -> Result<()> {
+async fn a_pass_forecast_is_forwarded_once() -> Result<()> {
     let world = World::start().await?;
-    let (follower, speaker) = (world.peer(1).await?, world.peer(2).await?);
-    world.say(&follower, &hello("hall-a", false, true)).await?;
-    world.say(&speaker, &hello("hall-a", false, false)).await?;
-    let pace = |word| {
-        Message::Forecast(PassForecast { group: "g".to_owned(), sequence: (7, word), pass_ms: 90 })
+    let (follower, relay) = (world.peer(1).await?, world.peer(2).await?);
+    world.send(&follower, &hello("hall-a", false, true)).await?;
+    world.send(&relay, &hello("hall-a", false, false)).await?;
+    let forecast = |number| {
+        Message::Forecast(PassForecast {
+            group: "g".to_owned(),
+            sequence: (7, number),
+            pass_ms: 90,
+        })
     };
-    // The same word comes round again and again, and an older one behind it.
-    for word in [4, 4, 4, 3, 4] {
-        world.say(&speaker, &pace(word)).await?;
+    // The same forecast arrives repeatedly, and once an older one.
+    for number in [4, 4, 4, 3, 4] {
+        world.send(&relay, &forecast(number)).await?;
     }
-    world.say(&speaker, &pace(5)).await?;
-    let told = heard(&follower).await;
-    let told: Vec<&Message> =
-        told.iter().filter(|message| matches!(message, Message::Forecast(_))).collect();
-    expect_that!(told, eq(&vec![&pace(4), &pace(5)]));
+    world.send(&relay, &forecast(5)).await?;
+    let received = receive(&follower).await;
+    let received: Vec<&Message> =
+        received.iter().filter(|message| matches!(message, Message::Forecast(_))).collect();
+    expect_that!(received, eq(&vec![&forecast(4), &forecast(5)]));
     Ok(())
 }
 
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_answer_to_one_who_asks_asks_nothing() -> Result<()> {
+async fn a_reply_hello_wants_no_reply() -> Result<()> {
     let world = World::start().await?;
-    // It knows no other gateway of its hall, and asks in its own hellos.
+    // The gateway under test is alone in its hall, and wants replies to its own hellos.
     let other = world.peer(1).await?;
-    world.say(&other, &hello("hall-z", true, false)).await?;
-    let answers = heard(&other).await;
+    world.send(&other, &hello("hall-z", true, false)).await?;
+    let answers = receive(&other).await;
     let is_answer =
         |message: &&Message| matches!(message, Message::Hello(hello) if !hello.wants_reply);
     expect_that!(answers.iter().filter(is_answer).count(), eq(1));
--- a/tests/testsuite/deaf_watch.rs
+++ b/tests/testsuite/lost_watch.rs
@@ -1,22 +1,7 @@
-//! A gateway goes on with an old configuration behind an outage of the store.
+//! Tests that a watch of the store that was lost in an outage is replaced at once.
 //!
-//! Symptom: a change that the store had acknowledged was not in force 2 s later. All
-//! eight gateways handled requests by version 15 until 14.7 s; the store had
-//! acknowledged versions 18 to 28 from 11.66 to 12.12 s.
-//!
-//! Sequence: version 15 came at 4.92 s, and each gateway placed its next watch 0.2 s
-//! later, all within 3 ms. The store had just fallen silent. It was back before
-//! 11.66 s, but those watches were lost, and the gateways waited for them to the end.
-//!
-//! Cause: that the store can be reached was judged by the watch alone, and a watch that
-//! is lost looks like one that waits. Its own end, 8 s and 1.5 s for the answer, was the
-//! only sign. The other gateways could not tell either: the change before had made
-//! them all place their watches at one moment.
-//!
-//! Settled by `configuration adopted` at 4.922 s and `store lost`, `no answer in time`,
-//! at 14.624 s: 0.2 s and 9.5 s lie between. No line of any gateway says that the store
-//! answered or failed in between, and the store counted one call a gateway without an
-//! answer.
+//! They guard against a watch that was lost without an error and looks like one that waits: the
+//! gateway or entry would not see changes until the watch times out.
 
 use eyre::Result;
 use googletest::prelude::*;
@@ -31,11 +16,10 @@
 };
 use tokio::time;
 
-/// What the store acknowledges behind an outage is in force long before the watch that
-/// the outage took would have ended by itself.
+/// A change after the outage is in force before the lost watch would have timed out.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_watch_that_an_outage_took_is_placed_anew() -> Result<()> {
+async fn a_watch_lost_in_an_outage_is_replaced() -> Result<()> {
     let site = Site::new(1)?;
     let server = Scripted::start(|_| {
         let bytes = "HTTP/1.1 200 OK\r\nRequest-Id: r-1\r\nResponse-Signature: sig\r\n\
@@ -57,7 +41,7 @@
         lost.iter().filter(|lost| lost.kind == "config").filter_map(|lost| lost.wait).max()
     };
 
-    // The watch that waits brings the second version; the next one is lost.
+    // The waiting watch returns the second version; the next one is lost.
     let silent = &site.platform.faults.silent;
     silent.store(true, Ordering::SeqCst);
     site.configure(2, &[route("/second/", "safe")]);
@@ -65,35 +49,35 @@
     let lost_for = lost_watch().unwrap_or_default();
     silent.store(false, Ordering::SeqCst);
 
-    let back = Instant::now();
+    let ended = Instant::now();
     site.configure(3, &[route("/third/", "safe")]);
     wait_for(async || serves("/third/a").await).await?;
-    // A waiting watch asks for seconds; one that is placed anew takes none.
-    expect_that!(back.elapsed(), lt(lost_for));
+    // The lost watch would have waited for this long.
+    expect_that!(ended.elapsed(), lt(lost_for));
     Ok(())
 }
 
-/// The same cause at an entry, whose watches stay open for five minutes: all entries that
-/// watch lose theirs in one outage, so no other entry tells either.
+/// The same at entries, whose watches stay open for minutes. All entries lose theirs in one
+/// outage, so none gets the change from another.
 #[googletest::test]
 #[tokio::test]
-async fn a_table_watch_that_an_outage_took_is_opened_anew() -> Result<()> {
+async fn a_table_watch_lost_in_an_outage_is_reopened() -> Result<()> {
     let mut fleet = Fleet::new(21).await?;
     fleet.row("quaystep", &customer("quaystep", 1.0));
     fleet.row("assistant", &model());
     fleet.add_entry("e0", "north").await?;
     fleet.add_entry("e1", "south").await?;
     let faults = &fleet.platform.faults;
-    let behind =
+    let oldest =
         || fleet.entries.iter().map(|entry| entry.table_version()).min().unwrap_or_default();
-    wait_for(async || behind() > 0).await?;
+    wait_for(async || oldest() > 0).await?;
 
     faults.lost_watches.fetch_add(1, Ordering::SeqCst);
     faults.silent.store(true, Ordering::SeqCst);
     time::sleep(Duration::from_secs(4)).await;
     faults.silent.store(false, Ordering::SeqCst);
     fleet.row("caroni", &customer("caroni", 1.0));
-    let newest = behind() + 1;
-    wait_for(async || behind() >= newest).await?;
+    let newest = oldest() + 1;
+    wait_for(async || oldest() >= newest).await?;
     Ok(())
 }
--- a/tests/testsuite/store_copy.rs
+++ b/tests/testsuite/store_restore.rs
@@ -1,10 +1,8 @@
-//! The store comes back from an older copy: what was written since is gone, and revisions
-//! are given out again.
+//! Tests of gateways after the store was restored from an older copy: later writes are lost, and
+//! revisions are used again.
 //!
-//! A gateway compares what it hears by the store's revision, and takes it to rise for ever.
-//! Behind such a return it would believe its old list until revisions have caught up: a new
-//! server gets nothing, and one that left is sent to. A watch from a revision that was given
-//! out again skips what changed meanwhile, without a sign.
+//! They guard against a gateway that keeps its old list because its revision is higher, and
+//! against a watch that skips changes because it waits from a reused revision.
 
 use crate::gateway::answer;
 use eyre::Result;
@@ -25,17 +23,17 @@
 };
 use tokio::time;
 
-/// Time that a server takes for a request.
+/// Time that a server takes to answer.
 const ANSWER: Duration = Duration::from_millis(30);
-/// Time in which a server's heartbeats bring its entry back.
+/// Time for the servers' heartbeats to write their entries again.
 const HEARTBEATS: Duration = Duration::from_millis(300);
 
-/// Two gateways, of which the second may be turned away by the store.
+/// Two gateways, each with its own access to the store.
 struct World {
     site: Site,
     gateways: Vec<Running>,
     servers: Vec<Scripted>,
-    /// Servers that got a request since this was last emptied.
+    /// Servers that got a request since the set was last cleared.
     reached: Arc<Mutex<HashSet<usize>>>,
     doors: Vec<(Arc<Door>, Served)>,
 }
@@ -72,22 +70,21 @@
         self.site.list(&format!("i-{number}"), &self.servers[number], state);
     }
 
-    /// Servers that a gateway's requests reach.
+    /// Returns the servers that a gateway sends requests to.
     async fn reached_by(&self, gateway: usize) -> HashSet<usize> {
         self.reached.lock().unwrap_or_else(PoisonError::into_inner).clear();
-        // At the same time: one behind the other would all go to one idle server.
-        let asked = (0..self.servers.len() * 4).map(async |number| {
+        // At the same time, since sequential requests would all go to one idle server.
+        let requests = (0..self.servers.len() * 4).map(async |number| {
             let bytes = request("GET", "/safe/a", &format!("r-{number}"), "", "");
-            // Whether it is served is told by who was reached.
+            // The servers record the requests that reach them.
             let _ = exchange(self.gateways[gateway].callers, &bytes).await;
         });
-        join_all(asked).await;
+        join_all(requests).await;
         self.reached.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Servers that requests reach through either gateway in the time in which heartbeats
-    /// come back.
-    async fn reached_meanwhile(&self) -> HashSet<usize> {
+    /// Returns the servers that either gateway sends requests to over six times [`HEARTBEATS`].
+    async fn reached_in_heartbeats(&self) -> HashSet<usize> {
         let mut all = HashSet::new();
         for _ in 0..6 {
             for gateway in [0, 1] {
@@ -103,7 +100,7 @@
         wait_for(async || self.reached_by(gateway).await == wanted).await
     }
 
-    /// The store is away for a moment, and comes back as it was when the copy was made.
+    /// Restores the store from a copy during a short outage.
     async fn restore(&self, copy: Copy) {
         self.site.platform.set_down(true);
         time::sleep(Duration::from_millis(200)).await;
@@ -111,7 +108,7 @@
         self.site.platform.set_down(false);
     }
 
-    /// Raises the revision without a change that matters.
+    /// Raises the revision by changes that gateways ignore.
     fn fill(&self, count: usize) {
         (0..count).for_each(|at| {
             self.site.platform.put("others", "filler", json!({ "spec": at }));
@@ -119,10 +116,10 @@
     }
 }
 
-/// The new server's entry has a lower revision than the list before.
+/// The new server's entry has a lower revision than the previous list.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_came_behind_it_is_used() -> Result<()> {
+async fn a_server_started_after_the_restore_is_used() -> Result<()> {
     let mut world = World::new(2).await?;
     world.list(0, "ready");
     world.start().await?;
@@ -139,10 +136,10 @@
     Ok(())
 }
 
-/// The copy still has it as ready, until its next heartbeat writes its state again.
+/// The copy has the server as ready until its next heartbeat.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_said_it_leaves_gets_nothing_by_an_entry_from_before() -> Result<()> {
+async fn a_restored_entry_does_not_revive_a_leaving_server() -> Result<()> {
     let mut world = World::new(2).await?;
     world.list(0, "ready");
     world.list(1, "ready");
@@ -154,14 +151,14 @@
     }
     world.restore(copy).await;
     world.list(0, "ready");
-    expect_that!(world.reached_meanwhile().await, eq(&HashSet::from([0])));
+    expect_that!(world.reached_in_heartbeats().await, eq(&HashSet::from([0])));
     Ok(())
 }
 
-/// Its entry is in the copy again, and nobody writes it: it lapses by itself.
+/// The copy has the entry of a server that is gone; it expires later.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_server_that_is_gone_gets_nothing_by_an_entry_from_before() -> Result<()> {
+async fn a_restored_entry_does_not_revive_a_removed_server() -> Result<()> {
     let mut world = World::new(2).await?;
     world.list(0, "ready");
     world.list(1, "ready");
@@ -171,17 +168,17 @@
     for gateway in [0, 1] {
         world.wait_reached(gateway, &[0]).await?;
     }
-    // As a last resort it would still be tried for a moment.
+    // For a moment a gateway may still use the server as a last resort.
     time::sleep(Duration::from_millis(1_600)).await;
     world.restore(copy).await;
-    expect_that!(world.reached_meanwhile().await, eq(&HashSet::from([0])));
+    expect_that!(world.reached_in_heartbeats().await, eq(&HashSet::from([0])));
     Ok(())
 }
 
-/// Servers that the copy lacks write themselves again; meanwhile they are used on.
+/// Servers that the copy lacks write their entries again later.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn servers_that_the_copy_lacks_are_used_on() -> Result<()> {
+async fn servers_missing_from_the_copy_stay_in_use() -> Result<()> {
     let mut world = World::new(2).await?;
     world.list(0, "ready");
     let copy = world.site.platform.copy();
@@ -200,10 +197,10 @@
     Ok(())
 }
 
-/// One that the store turns away hears of it from the other, whose revisions are lower now.
+/// The gateway gets the restored list from its peer, although the revision is lower.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_turned_away_hears_of_it() -> Result<()> {
+async fn a_gateway_refused_by_the_store_learns_of_the_restore() -> Result<()> {
     let mut world = World::new(3).await?;
     world.list(0, "ready");
     world.start().await?;
@@ -214,15 +211,15 @@
     world.doors[1].0.shut.store(true, Ordering::SeqCst);
     world.restore(copy).await;
     world.list(1, "ready");
-    // The third server writes itself no more.
+    // The third server does not write its entry again.
     world.wait_reached(1, &[0, 1]).await
 }
 
-/// The store has an older configuration for a while; a gateway that starts meanwhile hears of
-/// the newer one from another before it takes callers.
+/// Guards against a gateway that serves with the older configuration of a restored store while
+/// its peers have a newer one.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_meanwhile_is_not_ready_by_what_is_old() -> Result<()> {
+async fn a_starting_gateway_waits_for_the_newer_configuration() -> Result<()> {
     let mut world = World::new(1).await?;
     world.list(0, "ready");
     world.start().await?;
@@ -240,16 +237,15 @@
     world.gateways[1].ended().await?;
     let started = world.site.gateway(1, world.doors[1].1.addr)?;
     started.wait_ready().await?;
-    // The route is gone, and the key was taken away.
+    // The newer configuration has neither the route nor the key.
     expect_that!(status(&started, "/safe/a").await, eq(404));
     expect_that!(status(&started, "/second/a").await, eq(401));
     Ok(())
 }
 
-/// A quarantine that the copy lacks is written again, by one of the gateways that know it.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_only_gateways_write_is_written_again() -> Result<()> {
+async fn a_quarantine_missing_from_the_copy_is_written_again() -> Result<()> {
     const KIND: &str = "mastweir-quarantine";
     let mut world = World::new(1).await?;
     world.list(0, "ready");
@@ -263,11 +259,10 @@
     wait_for(async || world.site.platform.has(KIND, "00000000000000ff")).await
 }
 
-/// Another write has the revision from which the watch waits, so nothing tells that what
-/// came before it was lost.
+/// Another write has the revision that the watch waits from, so the store reports no gap.
 #[googletest::test]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_under_a_revision_that_was_given_out_again_is_in_force() -> Result<()> {
+async fn a_change_under_a_reused_revision_is_in_force() -> Result<()> {
     let mut world = World::new(1).await?;
     world.list(0, "ready");
     world.start().await?;
@@ -280,7 +275,7 @@
         answer.is_ok_and(|answer| answer.status == 200)
     };
     wait_for(async || serves(0, "/second/a").await && serves(1, "/second/a").await).await?;
-    // No outage is seen: the copy is back between two calls.
+    // The restore falls between two calls, so no outage shows.
     world.site.platform.restore(copy);
     world.site.configure(3, &[route("/safe/", "safe"), route("/third/", "safe")]);
     world.fill(60);
