--- a/src/mastweir/platform/config.rs
+++ b/src/mastweir/platform/config.rs
@@ -1,4 +1,6 @@
-//! The configuration, as the operator writes it into the store.
+//! Format of the configuration that operators write into the platform's store: routes,
+//! services, tenants (our customers) and limits. Gateways decode it into
+//! [`mastweir_core::gateway::Config`].
 
 use mastweir_core::{
     gateway::{Config, Kind, Limits, Model, PassCost, Route, Service, Target},
@@ -7,25 +9,25 @@
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// Kind of the object in the store.
+/// Kind of the configuration's object.
 pub const KIND: &str = "config";
-/// The one object of that kind that is the configuration.
+/// Name of the configuration's object; other objects of the kind are ignored.
 const NAME: &str = "main";
 
 #[derive(Debug, Deserialize)]
-struct Desired {
+struct ConfigSpec {
     version: u64,
     #[serde(default)]
-    routes: Vec<DesiredRoute>,
+    routes: Vec<RouteSpec>,
     #[serde(default)]
-    services: Vec<DesiredService>,
-    tenants: Option<Vec<Tenant>>,
+    services: Vec<ServiceSpec>,
+    tenants: Option<Vec<TenantSpec>>,
     #[serde(default)]
-    limits: DesiredLimits,
+    limits: LimitsSpec,
 }
 
 #[derive(Debug, Deserialize)]
-struct DesiredRoute {
+struct RouteSpec {
     name: String,
     host: String,
     path_prefix: String,
@@ -38,8 +40,8 @@
     #[serde(default)]
     priority: u8,
     service: Option<String>,
-    /// Parts by service; they need not add up to 100.
-    traffic_split: Option<Vec<Split>>,
+    /// Weights by service. Their sum is arbitrary.
+    traffic_split: Option<Vec<SplitSpec>>,
     #[serde(default = "one")]
     max_attempts: u32,
     #[serde(default)]
@@ -53,86 +55,94 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Split {
+struct SplitSpec {
     service: String,
     weight: u32,
 }
 
 #[derive(Debug, Deserialize)]
-struct DesiredService {
+struct ServiceSpec {
     name: String,
     #[serde(default)]
     max_connections: u32,
-    engine: Option<Engine>,
+    engine: Option<EngineSpec>,
 }
 
 #[derive(Debug, Deserialize)]
-struct Engine {
+struct EngineSpec {
     #[serde(default)]
     slots: u32,
     #[serde(default)]
     sets: usize,
     #[serde(default)]
     experts: usize,
+    /// Experts of a set that a rank can hold.
     #[serde(default)]
     places: usize,
+    /// Most experts of a set that are new to a rank in one load.
     #[serde(default)]
     spare_slots: usize,
+    /// Size of an expert in megabytes.
     #[serde(default)]
     expert_mb: f64,
+    /// Bandwidth for loading experts in megabits per second.
     #[serde(default)]
     link_mbps: f64,
+    /// Steps of a pass.
     #[serde(default)]
     stride: f64,
     #[serde(default)]
     step_ms: f64,
-    /// For each request that writes.
+    /// Additional time per step for each running request.
     #[serde(default)]
     per_seq_ms: f64,
+    /// Fraction of the work that is done by experts, 0 to 1.
     #[serde(default)]
     expert_share: f64,
 }
 
 #[derive(Debug, Deserialize)]
-struct Tenant {
+struct TenantSpec {
     name: String,
     #[serde(default)]
     api_keys: Vec<String>,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct DesiredLimits {
+struct LimitsSpec {
     max_header_bytes: Option<usize>,
     max_body_bytes: Option<usize>,
     header_timeout_ms: Option<u64>,
     idle_timeout_ms: Option<u64>,
 }
 
-/// Reads a configuration from its object's name and body; none if the object is another.
+/// Decodes the configuration from an object's name and `spec`. Returns `None` for other objects
+/// of the kind.
 ///
 /// # Errors
 ///
-/// It is not in the format of the pages.
+/// The `spec` is not in the documented format.
 pub fn read(name: &str, _changed: Revision, spec: &str) -> serde_json::Result<Option<Config>> {
     if name != NAME {
         return Ok(None);
     }
-    let desired: Desired = serde_json::from_str(spec)?;
-    let keys = |tenants: Vec<Tenant>| -> HashMap<String, String> {
-        let pair =
-            |tenant: Tenant| tenant.api_keys.into_iter().map(move |key| (key, tenant.name.clone()));
+    let spec: ConfigSpec = serde_json::from_str(spec)?;
+    let keys = |tenants: Vec<TenantSpec>| -> HashMap<String, String> {
+        let pair = |tenant: TenantSpec| {
+            tenant.api_keys.into_iter().map(move |key| (key, tenant.name.clone()))
+        };
         tenants.into_iter().flat_map(pair).collect()
     };
     Ok(Some(Config {
-        version: desired.version,
-        routes: desired.routes.into_iter().map(route).collect(),
-        services: desired.services.into_iter().map(service).collect(),
-        customers: desired.tenants.map(keys),
-        limits: limits(&desired.limits),
+        version: spec.version,
+        routes: spec.routes.into_iter().map(route).collect(),
+        services: spec.services.into_iter().map(service).collect(),
+        customers: spec.tenants.map(keys),
+        limits: limits(&spec.limits),
     }))
 }
 
-fn route(route: DesiredRoute) -> Route {
+fn route(route: RouteSpec) -> Route {
     let split = route.traffic_split.unwrap_or_default();
     let mut targets: Vec<Target> = split
         .into_iter()
@@ -144,7 +154,7 @@
     let kind = match route.kind.as_str() {
         "safe" => Kind::Repeatable,
         "streaming" => Kind::Stream,
-        // A kind that is not known may do anything: run it once.
+        // Unknown kinds may have side effects, so their requests run at most once.
         _ => Kind::Once,
     };
     Route {
@@ -163,7 +173,7 @@
     }
 }
 
-fn service(service: DesiredService) -> (String, Service) {
+fn service(service: ServiceSpec) -> (String, Service) {
     let model = service.engine.map(|engine| Model {
         slots: engine.slots,
         sets: engine.sets,
@@ -182,17 +192,17 @@
     (service.name, Service { connections: service.max_connections, model })
 }
 
-/// The link is in megabits, the expert in megabytes.
-fn load_s(engine: &Engine) -> f64 {
+/// Returns the seconds to load an expert; 0 if the bandwidth is unknown.
+fn load_s(engine: &EngineSpec) -> f64 {
     if engine.link_mbps > 0.0 { engine.expert_mb * 8.0 / engine.link_mbps } else { 0.0 }
 }
 
-fn limits(desired: &DesiredLimits) -> Limits {
-    let usual = Limits::default();
+fn limits(spec: &LimitsSpec) -> Limits {
+    let defaults = Limits::default();
     Limits {
-        header_bytes: desired.max_header_bytes.unwrap_or(usual.header_bytes),
-        body_bytes: desired.max_body_bytes.unwrap_or(usual.body_bytes),
-        header_ms: desired.header_timeout_ms.unwrap_or(usual.header_ms),
-        idle_ms: desired.idle_timeout_ms.unwrap_or(usual.idle_ms),
+        header_bytes: spec.max_header_bytes.unwrap_or(defaults.header_bytes),
+        body_bytes: spec.max_body_bytes.unwrap_or(defaults.body_bytes),
+        header_ms: spec.header_timeout_ms.unwrap_or(defaults.header_ms),
+        idle_ms: spec.idle_timeout_ms.unwrap_or(defaults.idle_ms),
     }
 }
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -1,4 +1,5 @@
-//! Calls to a model server: its state, what its requests chose, and orders.
+//! Client of a model server, used by sidecars: reads the server's state and its expert
+//! selections, and gives orders that change the expert map.
 
 use super::headers::{self, AnswerHead, LimitHeader};
 use crate::net::http::{CallError, FullAnswer, Pool};
@@ -15,41 +16,39 @@
 use serde_json::Value;
 use std::{fmt, net::SocketAddr, rc::Rc, time::Duration};
 
-/// A read on the server's own machine takes a millisecond.
+/// Timeout of reads; the server normally runs on the same machine.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// So does an order, and some milliseconds from another hall. One that gets no
-/// answer is given again, and meanwhile its group may stand.
+/// Timeout of orders. Short, since an order without an answer is repeated, and the group may be
+/// paused until then.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(40);
-/// A report is small; counts and maps of 12 sets of 128 experts are some 20 KB.
+/// Far larger than the counts and maps of large models.
 const ANSWER_BYTES_MAX: usize = 1 << 20;
 
-/// Ranks of a group at most, eight times those of the largest that is planned for. A report
-/// that tells of more is not taken for a rank's: what is kept grows with that number.
+/// Most ranks of a group. Memory use grows with the number, so the rank in a report that names
+/// more is ignored.
 const RANKS_MAX: u32 = 4_096;
 
 /// Why a call to a model server failed.
 #[derive(Debug, thiserror::Error)]
 pub enum EngineError {
-    /// It answered with another status.
-    #[error("the model server answered {status}; it will be asked again")]
-    Refused {
-        /// HTTP status.
-        status: u16,
-    },
-    /// No answer.
+    /// The server answered with an error status.
+    #[error("the model server answered {status}; the call will be repeated")]
+    Refused { status: u16 },
+    /// There was no complete answer.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer is not in the format of the pages.
-    #[error("malformed answer of the model server: {0}; check its version")]
+    /// The answer is not in the documented format.
+    #[error("malformed answer of the model server: {0}; check the server's version")]
     Malformed(#[from] serde_json::Error),
 }
 
 #[derive(Debug, Deserialize)]
 struct ReportBody {
-    /// Names the server's life; no time to reckon with.
+    /// Incarnation of the server; compared only for equality.
     born: Option<u64>,
     #[serde(default)]
     busy: bool,
+    /// Number of orders that the rank has taken.
     #[serde(default)]
     seq: u64,
     #[serde(default)]
@@ -60,20 +59,25 @@
     kv_used: u64,
     #[serde(default)]
     kv_total: u64,
-    /// Time that it takes over what is usual: above 1 it is slow.
+    /// Time for the same work as a multiple of the usual time; above 1 is slow.
     #[serde(default = "default_pace")]
     pace: f64,
     group: Option<GroupBody>,
     #[serde(default)]
     size: u32,
+    /// Last pass that began.
     #[serde(default)]
     step: u64,
+    /// Version of the map in force.
     #[serde(default)]
     map: Value,
+    /// Version of the loaded map.
     #[serde(default)]
     prepared: Value,
+    /// Version and pass of the scheduled map.
     #[serde(default)]
     armed: Value,
+    /// Pass before which the rank is paused.
     #[serde(default)]
     held: Value,
 }
@@ -100,8 +104,8 @@
     counts: FlatNumbers,
 }
 
-/// Numbers in lists within lists, one behind the other: read straight into one list, since
-/// 3,072 of them ten times a second took most of a sidecar's time as values of their own.
+/// The numbers of nested lists in order. Decoded directly into one list, since a sidecar reads
+/// thousands of them several times a second.
 #[derive(Debug, Default)]
 struct FlatNumbers(Vec<u64>);
 
@@ -152,43 +156,42 @@
     experts: RankExperts,
 }
 
-/// State of a server, with its rank's if it has one.
+/// State of a model server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
-    /// Its life; zero if it does not say.
+    /// 0 if the server names none.
     pub incarnation: u64,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Memory in use, in thousandths.
+    /// Used part of the KV cache, in thousandths.
     pub memory_milli: u32,
-    /// Time that it takes for the same work over what is usual, in thousandths.
+    /// Time for the same work as a multiple of the usual time, in thousandths.
     pub slowdown_milli: u32,
-    /// Name of its group.
+    /// Name of the server's rank group.
     pub group: Option<String>,
-    /// Its rank's state.
+    /// `None` if the server is in no group, or the reported rank or size is out of range.
     pub rank: Option<RankState>,
-    /// Whether it says that it leaves.
     pub leaving: bool,
-    /// The limit that it names.
+    /// The server's rate limit.
     pub limit: LimitHeader,
 }
 
-/// What requests chose, since the server's start.
+/// How often each expert was selected since the server's start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Selections {
-    /// The server's life; zero if it does not say.
+    /// Incarnation of the server; 0 if the server names none.
     pub incarnation: u64,
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// The last pass begun.
+    /// Last pass that began.
     pub pass: u64,
-    /// Selections by set and expert, one set behind the other.
+    /// Selections by expert, the sets one after another.
     pub counts: Vec<u64>,
 }
 
-/// A model server.
+/// A client of one model server.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     addr: SocketAddr,
@@ -196,17 +199,16 @@
 }
 
 impl EngineClient {
-    /// The server at an address.
+    /// Creates a client of the server at an address.
     pub fn new(addr: SocketAddr, pool: Rc<Pool>) -> Self {
         Self { addr, pool }
     }
 
-    /// Its address.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its state now.
+    /// Reads the server's current state.
     ///
     /// # Errors
     ///
@@ -217,7 +219,7 @@
         Ok(engine_state(report, &headers::read_answer(StatusCode::OK, &headers)))
     }
 
-    /// What its requests chose.
+    /// Reads the expert selections of the server's rank.
     ///
     /// # Errors
     ///
@@ -230,7 +232,7 @@
         Ok(Selections { incarnation, epoch, pass: step, counts: counts.0 })
     }
 
-    /// The map in force at its rank: version, and experts by set.
+    /// Reads the map in force at the server's rank. Returns the version, and the experts by set.
     ///
     /// # Errors
     ///
@@ -241,11 +243,12 @@
         Ok((lists.map.version, lists.map.experts))
     }
 
-    /// Gives an order.
+    /// Gives an order to the server's rank.
     ///
     /// # Errors
     ///
-    /// No answer: the order may be carried out, now or seconds later.
+    /// See [`EngineError`]. If there is no answer, the rank may still carry out the order, even
+    /// seconds later.
     pub async fn order(&self, order: &Order) -> Result<OrderOutcome, EngineError> {
         let bytes = serde_json::to_vec(&order_body(order))?;
         let status = self.call(Method::POST, "/order", bytes, ORDER_TIMEOUT).await?.status;
@@ -281,12 +284,12 @@
     }
 }
 
-/// An order as the pages have it.
+/// Body of an order.
 #[derive(Debug, Serialize)]
 struct OrderBody<'a> {
     op: &'static str,
     fencing_token: u64,
-    /// The number of orders that the rank has taken.
+    /// Number of orders that the rank must have taken before.
     expected_rev: u64,
     epoch: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -346,7 +349,7 @@
     }
 }
 
-/// A version stands alone, or in an object.
+/// Decodes a version, which is a number or the `version` field of an object.
 fn version(value: &Value) -> Option<u64> {
     number(value, "version")
 }
--- a/src/mastweir/platform/headers.rs
+++ b/src/mastweir/platform/headers.rs
@@ -1,4 +1,7 @@
-//! Headers of requests and answers.
+//! HTTP headers of requests and answers on the users' platform, read and written by gateways.
+//!
+//! Gateways read the headers of callers' requests and of servers' answers, and choose which
+//! headers to forward in both directions. Sidecars and the store's client read a few of them.
 
 use crate::net::http;
 use hyper::{
@@ -9,30 +12,29 @@
 use std::time::Duration;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Milliseconds that are left, not a point in time.
+/// Remaining milliseconds; despite the name not a point in time.
 const DEADLINE: HeaderName = HeaderName::from_static("request-deadline");
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
-/// Names the server's life, not an instance of ours.
+/// Id of the server that the request is meant for. An instance is a server here.
 const EXPECT_SERVER: HeaderName = HeaderName::from_static("expect-instance");
 const PRIORITY: HeaderName = HeaderName::from_static("request-priority");
 const CUSTOMER: HeaderName = HeaderName::from_static("tenant");
 const NOT_RUN: HeaderName = HeaderName::from_static("not-executed");
 const LOAD: HeaderName = HeaderName::from_static("server-load");
-/// In all answers of a server that leaves, whatever else its list says.
+/// "1" in all answers of a leaving server, even if its entry in the store says otherwise.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Requests a second that a server takes from all gateways together.
+/// Requests per second that a server accepts from all gateways together.
 const LIMIT: HeaderName = HeaderName::from_static("server-limit");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const SIGNATURE: HeaderName = HeaderName::from_static("response-signature");
-/// In all answers of the store; rises when it comes back from an older copy.
+/// Generation of the store; rises when the store is restored from an older copy.
 const STORE_GENERATION: HeaderName = HeaderName::from_static("store-era");
-/// Tokens of the prompt, and the most tokens of the answer.
+/// Prompt tokens and the limit of answer tokens, separated by a comma.
 const TOKENS: HeaderName = HeaderName::from_static("token-usage");
 
 const KEY_SCHEME: &str = "Bearer ";
 
-/// Headers that concern one connection only, and those that a gateway sets or
-/// uses itself.
+/// Request headers that concern one connection, or that the gateway consumes or sets itself.
 const NOT_FORWARDED: [HeaderName; 13] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -48,6 +50,7 @@
     EXPECT_SERVER,
     PRIORITY,
 ];
+/// Answer headers that concern one connection, or that are meant for the gateway.
 const NOT_RETURNED: [HeaderName; 11] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -62,24 +65,24 @@
     EXPECT_SERVER,
 ];
 
-/// What a request's head says.
+/// The headers of a caller's request that the gateway uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Id of this attempt of the caller.
+    /// Id of the caller's attempt; empty if missing.
     pub id: String,
-    /// Time that the caller waits.
+    /// Time for which the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// Key of a customer.
+    /// API key of a customer.
     pub key: Option<String>,
-    /// Last event that the caller has of a stream.
+    /// Id of the last event of a stream that the caller has received.
     pub last_event: Option<String>,
-    /// Tokens of the prompt.
+    /// 0 if unknown.
     pub prompt_tokens: u32,
-    /// Tokens of the answer at most.
+    /// Limit of the answer's tokens; 0 if unknown.
     pub answer_tokens: u32,
 }
 
-/// Reads a request's head.
+/// Reads the headers of a caller's request. Ignores malformed values.
 pub fn read_request(headers: &HeaderMap) -> RequestHead {
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let tokens = text(&TOKENS).and_then(|text| text.split_once(','));
@@ -96,34 +99,32 @@
     }
 }
 
-/// What a gateway adds to a request.
+/// Values that a gateway adds to the headers of a forwarded request.
 #[derive(Clone, Copy, Debug)]
 pub struct AddedHeaders<'a> {
-    /// Time that is left.
+    /// Time until the caller's deadline.
     pub remaining: Duration,
-    /// The life of the server that is meant.
+    /// Id of the server that the request is meant for.
     pub server_id: &'a str,
-    /// The customer whose key it carried.
+    /// The customer whose key the request carried.
     pub customer: Option<&'a str>,
-    /// Last event that the caller has of a stream.
+    /// Id of the last event of a stream that the caller has received.
     pub last_event: Option<&'a str>,
-    /// When it goes, where requests wait at the server.
     pub priority: QueuePriority,
 }
 
-/// When a request goes, where others wait at its server.
+/// Priority of a request in its server's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueuePriority {
     /// Before all others.
     First,
-    /// As they come.
     Normal,
-    /// Behind the others.
+    /// After all others.
     Last,
 }
 
 impl QueuePriority {
-    /// 0 goes first; without it a request counts as 5.
+    /// Returns the header's value. Servers run lower numbers first and use 5 if it is missing.
     const fn priority(self) -> Option<&'static str> {
         match self {
             Self::First => Some("1"),
@@ -133,7 +134,7 @@
     }
 }
 
-/// Headers for a server: the caller's, and what the gateway adds.
+/// Returns the headers of a forwarded request.
 pub fn for_server(caller: &HeaderMap, added: AddedHeaders<'_>) -> HeaderMap {
     let mut headers = forwarded(caller, &NOT_FORWARDED);
     let remaining = u64::try_from(added.remaining.as_millis()).unwrap_or(u64::MAX);
@@ -145,7 +146,7 @@
     headers
 }
 
-/// Headers for the caller, of a server's answer.
+/// Returns the headers of a server's answer as they are sent to the caller.
 pub fn for_caller(server: &HeaderMap) -> HeaderMap {
     forwarded(server, &NOT_RETURNED)
 }
@@ -173,41 +174,39 @@
     }
 }
 
-/// What the head of a server's answer says.
+/// The headers of a server's answer that the gateway uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Id of the request that it belongs to.
+    /// Id of the request that the answer belongs to; empty if missing.
     pub id: String,
-    /// Whether the server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether it carries a server's signature.
+    /// Whether the answer carries a signature. The signature isn't verified.
     pub signed: bool,
-    /// Requests that run and that wait there.
+    /// Running and queued requests of the server.
     pub load: Option<(u32, u32)>,
-    /// How long the server keeps the connection; zero if it closes it.
+    /// Time for which the server keeps the idle connection open; zero if it closes it.
     pub keep_alive: Option<Duration>,
-    /// Whether the server says that it leaves.
     pub leaving: bool,
-    /// How long the server, which turned the request away, wants no others of this process.
+    /// Time for which a server that refused the request wants no others from this process.
     pub retry_after: Option<Duration>,
-    /// The limit that the server names.
+    /// The server's rate limit.
     pub limit: LimitHeader,
 }
 
-/// What an answer says of its server's limit.
+/// Rate limit of a server as an answer states it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitHeader {
-    /// It names none.
+    /// The answer has no such header.
     #[default]
     Absent,
-    /// So much.
     Valid(Rate),
-    /// Something that is no rate, or several.
+    /// The value is not a rate, or the header occurs more than once.
     Malformed,
 }
 
 impl LimitHeader {
-    /// The limit, if there is one.
+    /// Returns the limit, or `None` if it is absent or malformed.
     pub const fn rate(self) -> Option<Rate> {
         match self {
             Self::Valid(rate) => Some(rate),
@@ -216,7 +215,7 @@
     }
 }
 
-/// Reads the head of a server's answer.
+/// Reads the headers of a server's answer. Ignores malformed values.
 pub fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerHead {
     let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text(&header::CONNECTION).is_some_and(|value| value.eq_ignore_ascii_case("close"));
@@ -250,12 +249,12 @@
     Some((parts.next()??, parts.next()??))
 }
 
-/// Reads the era of the store from an answer of it.
+/// Reads the store's generation from an answer of the store.
 pub fn read_generation(headers: &HeaderMap) -> Option<u64> {
     headers.get(STORE_GENERATION)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Headers of an answer of the gateway's own.
+/// Returns the headers of an answer that the gateway itself makes.
 pub fn gateway_answer(id: &str, retry_after: Option<Duration>) -> HeaderMap {
     let mut headers = HeaderMap::new();
     set(&mut headers, REQUEST_ID, Some(id));
--- a/src/mastweir/platform/lease.rs
+++ b/src/mastweir/platform/lease.rs
@@ -1,8 +1,9 @@
-//! Leases of groups' coordinators, as they lie in the store.
+//! Leases of group coordinators in the platform's store, used by sidecars.
 //!
-//! Each era of the store has an object of its own for a lease: a write that is under way while
-//! the store comes back from a copy can't pass for one of the new era, whatever revision it
-//! names.
+//! The sidecar that holds a group's lease coordinates the group; the lease's epoch is the
+//! fencing token. Each generation of the store uses a separate object for the same lease. So a
+//! write that is under way while the store is restored from a copy can't change the lease of
+//! the new generation, whatever revision it names.
 
 use super::{
     objects::{self, ReadSpec, UnreadableObject},
@@ -13,28 +14,27 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Kind of our own for leases.
+/// Kind of the lease objects, which only mastweir writes.
 const KIND: &str = "mastweir-leases";
-/// Reads of a lease while the era changes under them.
+/// Attempts to read a lease while the store's generation keeps changing.
 const READ_ATTEMPTS: u32 = 3;
 
-/// A lease, as it lies in the store.
+/// A lease's object in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredLease {
-    /// Fencing token of its holder.
+    /// Fencing token of the holder.
     pub epoch: u64,
-    /// Who holds it.
+    /// Name of the holder's instance; empty if the object can't be decoded.
     pub holder: String,
-    /// Revision of the object, for a conditional write.
+    /// Revision of the object, for conditional writes.
     pub revision: Revision,
 }
 
-/// A group's lease, as it was read.
+/// A group's lease as read in one generation of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseSnapshot {
-    /// The era it is of.
     pub generation: u64,
-    /// What lies there; none if it was never taken in that era.
+    /// `None` if the lease was never taken in this generation.
     pub stored: Option<StoredLease>,
 }
 
@@ -50,14 +50,15 @@
 }
 
 impl Store {
-    /// A group's lease in this era. One that can't be read is nobody's, and its epoch is
-    /// taken for as many above the era's first as the revision of its last change: each time
-    /// it is taken its epoch rises by one and that revision by one at least, so it was never
-    /// higher.
+    /// Reads a group's lease in the store's current generation. A malformed lease counts as
+    /// held by nobody, and its epoch as the generation's first epoch plus the object's
+    /// revision. That is an upper bound: taking the lease raises the epoch by one and the
+    /// revision by at least one.
     ///
     /// # Errors
     ///
-    /// See [`StoreError`].
+    /// [`StoreError::GenerationChanged`] if the generation changed during each attempt, and the
+    /// other variants of [`StoreError`].
     pub async fn lease(&self, name: &str) -> Result<LeaseSnapshot, StoreError> {
         for _ in 0..READ_ATTEMPTS {
             let generation = self.generation();
@@ -83,12 +84,12 @@
         Err(StoreError::GenerationChanged)
     }
 
-    /// Takes a lease over, under the condition that it is as it was read, in the era in which
-    /// it was read.
+    /// Takes a lease if neither the lease nor the store's generation has changed since
+    /// `previous` was read.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] if another took it meanwhile.
+    /// [`StoreError::Conflict`] if another instance has taken the lease since then.
     pub async fn take_lease(
         &self,
         name: &str,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Deletes a lease's objects of earlier eras: nobody reads them any more.
+    /// Deletes a lease's objects of earlier generations, which are no longer read.
     ///
     /// # Errors
     ///
@@ -132,12 +133,12 @@
     }
 }
 
-/// Name of the object of a lease in an era.
+/// Returns the name of a lease's object in a generation.
 fn lease_name(name: &str, generation: u64) -> String {
     if generation == 0 { name.to_owned() } else { format!("{name}.{generation}") }
 }
 
-/// The era of a lease's object, if it is one of that lease.
+/// Returns the generation of an object if the object belongs to the lease.
 fn lease_generation(name: &str, object: &str) -> Option<u64> {
     let rest = object.strip_prefix(name)?;
     if rest.is_empty() { Some(0) } else { rest.strip_prefix('.')?.parse().ok() }
--- a/src/mastweir/platform/mod.rs
+++ b/src/mastweir/platform/mod.rs
@@ -1,13 +1,13 @@
-//! The users' platform: its names, formats and calls, and nothing that decides.
+//! Interface to the users' platform: its names, formats and calls.
 //!
-//! Everything that the platform names stands in this folder. Its words are
-//! translated here, once, into types of the product whose fields say what they
-//! hold; where a name of theirs misleads, a comment says so.
+//! The modules decode the platform's formats into mastweir's own types and contain no
+//! load-balancing decisions. The platform's names occur nowhere else. Where such a name
+//! misleads, a comment says what it stands for.
 //!
-//! - [`settings`]: the file that tells a process where it runs;
-//! - [`headers`]: what requests and answers carry;
-//! - [`config`], [`servers`] and [`quarantine`]: objects of the store, read into our types;
-//! - [`objects`]: objects of the store, each read by itself;
+//! - [`settings`]: the settings file of a process;
+//! - [`headers`]: HTTP headers of requests and answers;
+//! - [`config`], [`servers`] and [`quarantine`]: formats of objects in the store;
+//! - [`objects`]: decoding of lists and watches of such objects;
 //! - [`store`] and [`lease`]: calls to the store;
 //! - [`engine`]: calls to a model server.
 
--- a/src/mastweir/platform/objects.rs
+++ b/src/mastweir/platform/objects.rs
@@ -1,27 +1,26 @@
-//! Objects of the store, as lists and watches bring them.
+//! Decoding of lists and watches of the platform's store, in gateways and sidecars.
 //!
-//! Each object is read by itself. One that another writer left in a form that is not that
-//! of the pages is named as [`UnreadableObject`], and the others hold. Only an answer whose frame
-//! can't be read fails as a whole.
+//! Each object is decoded separately: a malformed object becomes an [`UnreadableObject`] and
+//! doesn't affect the others. Decoding fails only if the enclosing list or watch is malformed.
 //!
-//! What is read is of one era of the store, which the answer's headers name.
+//! Revisions count within one generation of the store. The answer's headers name the
+//! generation, so callers pass it in.
 
 use mastweir_core::revision::Revision;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// Longest reason that is kept of why an object can't be read, in bytes: it may quote
-/// what another writer put there.
+/// Characters of an error message to keep. The message may quote any part of the object.
 const REASON_CHARS_MAX: usize = 200;
 
-/// An object that can't be read.
+/// An object that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnreadableObject {
-    /// Its name; empty if not even that can be read.
+    /// Empty if the name can't be decoded either.
     pub name: String,
-    /// Revision of its last change; of number zero if it can't be read.
+    /// Revision of the last change; its number is 0 if it can't be decoded.
     pub revision: Revision,
-    /// Why.
+    /// The decoder's error message, shortened.
     pub reason: String,
 }
 
@@ -33,41 +32,39 @@
     }
 }
 
-/// Objects of a kind.
+/// All objects of a kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectList<T> {
-    /// Those that can be read.
     pub items: Vec<T>,
-    /// The others.
     pub unreadable: Vec<UnreadableObject>,
-    /// The store's revision.
+    /// Revision of the store from which a watch continues the list.
     pub revision: Revision,
 }
 
 /// A change of one object.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change<T> {
-    /// It is like this now.
+    /// The object was created or changed.
     Updated(T),
-    /// The object of that name is gone.
+    /// Name of the deleted object.
     Deleted(String),
-    /// It can't be read any more, and names nothing.
+    /// The object's new content, or the event itself, can't be decoded.
     Unreadable(UnreadableObject),
 }
 
-/// Changes of a kind, up to a revision.
+/// Changes of the objects of a kind, up to a revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changes<T> {
-    /// In order.
+    /// The changes in the order in which they were made.
     pub changes: Vec<Change<T>>,
-    /// Where to go on.
+    /// Revision from which to continue the watch.
     pub revision: Revision,
 }
 
-/// Reads an object's body, given its name and the revision of its last change.
+/// Decodes an object's `spec`, given the object's name and the revision of its last change.
 pub type ReadSpec<T> = fn(&str, Revision, &str) -> serde_json::Result<T>;
 
-/// What names an object.
+/// The part of an object's metadata that is used.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Metadata {
     #[serde(default)]
@@ -90,7 +87,7 @@
     items: Vec<&'a RawValue>,
     #[serde(default)]
     has_more: bool,
-    /// A revision of the store, not a time.
+    /// Despite the name, a revision of the store.
     timestamp: u64,
 }
 
@@ -98,7 +95,7 @@
 struct WatchAnswer<'a> {
     #[serde(borrow)]
     events: Vec<&'a RawValue>,
-    /// A revision of the store, not a time.
+    /// Despite the name, a revision of the store.
     timestamp: u64,
 }
 
@@ -110,20 +107,19 @@
     object: &'a RawValue,
 }
 
-/// One page of a list, and the name behind which the next one begins.
+/// One page of a list.
 #[derive(Debug)]
 pub struct DecodedPage<T> {
-    /// The page.
     pub listed: ObjectList<T>,
-    /// Where the next page begins; none if this is the last.
+    /// Name of the object after which the next page begins; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// Reads a page of a list.
+/// Decodes a page of a list.
 ///
 /// # Errors
 ///
-/// The answer as a whole is not in the format of the pages.
+/// The enclosing JSON object is malformed.
 pub fn read_page<T>(
     body: &[u8],
     generation: u64,
@@ -152,11 +148,11 @@
     Ok(DecodedPage { listed, next })
 }
 
-/// Reads what a watch brought.
+/// Decodes the answer to a watch.
 ///
 /// # Errors
 ///
-/// The answer as a whole is not in the format of the pages.
+/// The enclosing JSON object is malformed.
 pub fn read_changes<T>(
     body: &[u8],
     generation: u64,
@@ -169,11 +165,11 @@
     Ok(Changes { changes, revision: Revision::new(generation, watched.timestamp) })
 }
 
-/// Reads a single object: what it holds, or that it can't be read.
+/// Decodes a single object.
 ///
 /// # Errors
 ///
-/// The answer as a whole is no JSON.
+/// The body is not JSON.
 pub fn read_one<T>(
     body: &[u8],
     generation: u64,
@@ -219,7 +215,7 @@
     }
 }
 
-/// What names an object, and its body.
+/// Returns an object's metadata and its undecoded `spec`.
 fn read_meta(object: &RawValue, generation: u64) -> Result<(Metadata, &str), UnreadableObject> {
     let unnamed = |error| UnreadableObject::new(Metadata::default(), generation, &error);
     let object: Object<'_> = serde_json::from_str(object.get()).map_err(unnamed)?;
--- a/src/mastweir/platform/quarantine.rs
+++ b/src/mastweir/platform/quarantine.rs
@@ -1,4 +1,7 @@
-//! Requests that are quarantined, as gateways keep them in the store.
+//! Format of quarantined requests in the platform's store.
+//!
+//! A request under which several servers crashed is quarantined. Gateways write an object for
+//! each such request, so that the quarantine survives restarts of all gateways.
 
 use mastweir_core::{
     gateway::{Fingerprint, SuspectReport},
@@ -8,39 +11,40 @@
 use serde_json::Value;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Kind of our own for them.
+/// Kind of the quarantine objects, which only mastweir writes.
 pub const KIND: &str = "mastweir-quarantine";
 
-/// What is kept of a request, under its fingerprint as name. Numbers of 64 bits are texts:
-/// some readers of JSON round them.
+/// Content of an object whose name is the request's fingerprint. Fingerprints are hexadecimal
+/// text, as some JSON readers round 64-bit numbers.
 #[derive(Debug, Serialize, Deserialize)]
 struct QuarantineSpec {
+    /// Fingerprints of the server incarnations that crashed.
     ends: Vec<String>,
+    /// Whether a server completed the request.
     finished: bool,
-    /// When it was written, in seconds of the time of day: it lapses after an hour, so that
-    /// clocks which differ by seconds do no harm.
+    /// Unix time of the write in seconds. The quarantine lasts an hour, so clocks that differ
+    /// by seconds do no harm.
     written_s: u64,
 }
 
-/// A request that is quarantined, as it lies in the store.
+/// A quarantined request as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredQuarantine {
-    /// What is known of it, and how old that is.
     pub report: SuspectReport,
-    /// Revision of the object, for a conditional delete.
+    /// Revision of the object, for conditional deletes.
     pub revision: Revision,
 }
 
-/// Name of a request's object.
+/// Returns the name of a request's object.
 pub fn name(request: Fingerprint) -> String {
     request.to_string()
 }
 
-/// The body of a request's object.
+/// Encodes the `spec` of a request's object.
 ///
 /// # Errors
 ///
-/// It can't be written as JSON.
+/// The report can't be encoded as JSON.
 pub fn body(report: &SuspectReport) -> serde_json::Result<Value> {
     serde_json::to_value(QuarantineSpec {
         ends: report.crashes.iter().map(Fingerprint::to_string).collect(),
@@ -49,11 +53,11 @@
     })
 }
 
-/// Reads a request from its object's name, revision and body.
+/// Decodes a request from its object's name, revision and `spec`.
 ///
 /// # Errors
 ///
-/// It is not in this format.
+/// The name or the `spec` is malformed.
 pub fn read(name: &str, revision: Revision, spec: &str) -> serde_json::Result<StoredQuarantine> {
     let spec: QuarantineSpec = serde_json::from_str(spec)?;
     let ends: serde_json::Result<Vec<_>> = spec.ends.iter().map(|end| fingerprint(end)).collect();
--- a/src/mastweir/platform/servers.rs
+++ b/src/mastweir/platform/servers.rs
@@ -1,4 +1,4 @@
-//! Servers, as they keep themselves in the store.
+//! Format of server entries in the platform's store. Servers write their own entries.
 
 use mastweir_core::{
     gateway::{Server, ServerState},
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Kind of the objects in the store.
+/// Kind of the server objects.
 pub const KIND: &str = "servers";
 
 #[derive(Debug, Deserialize)]
@@ -18,20 +18,19 @@
     #[serde(default)]
     slots: u32,
     state: String,
-    /// Names its life: the start's time of day, which is compared for equality only.
-    /// Installations whose servers never start again under one id may leave it out.
+    /// Incarnation of the server: its start time, which is compared only for equality. May be
+    /// missing where a server never restarts under the same id.
     born: Option<u64>,
 }
 
-/// Reads a server from its object's name, the revision of its last change, and its
-/// body.
+/// Decodes a server from its object's name, the revision of its last change and its `spec`.
 ///
 /// # Errors
 ///
-/// It is not in the format of the pages.
+/// The `spec` is not in the documented format.
 pub fn read(name: &str, changed: Revision, spec: &str) -> serde_json::Result<Server> {
     let entry: Entry = serde_json::from_str(spec)?;
-    // Any word but the one for ready may mean that it is leaving.
+    // Treats unknown states as leaving, so that such a server gets no new requests.
     let ready = entry.state == "ready";
     Ok(Server {
         id: name.to_owned(),
--- a/src/mastweir/platform/settings.rs
+++ b/src/mastweir/platform/settings.rs
@@ -1,6 +1,7 @@
-//! The settings file of a process, in the platform's format.
+//! Format of the settings file of gateways and sidecars, which the users' platform writes.
 //!
-//! Fields that are not known here are ignored: the platform adds some.
+//! Unknown fields are ignored, as the platform may add some. Values out of range are rejected
+//! with an error that names the remedy.
 
 use crate::gateway::settings::{Bounds, Settings, SettingsFileError};
 use serde::Deserialize;
@@ -11,11 +12,11 @@
     time::Duration,
 };
 
-/// Variable that holds the file's path.
+/// Environment variable that holds the file's path.
 pub const PATH_VARIABLE: &str = "MASTWEIR_SETTINGS";
 
 #[derive(Debug, Deserialize)]
-struct File {
+struct SettingsFile {
     node: String,
     zone: String,
     ip: IpAddr,
@@ -23,35 +24,35 @@
     #[serde(default)]
     seeds: Vec<SocketAddr>,
     #[serde(default)]
-    listen: Listen,
+    listen: ListenTable,
     app: Option<SocketAddr>,
-    #[serde(default = "usual_heartbeat")]
+    #[serde(default = "default_heartbeat_ms")]
     heartbeat_ms: u64,
-    bounds: FileBounds,
-    platform: Store,
+    bounds: BoundsTable,
+    platform: PlatformTable,
     #[serde(default)]
-    limits: FileLimits,
+    limits: LimitsTable,
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct FileLimits {
+struct LimitsTable {
     #[serde(default)]
     cpu_share: f64,
 }
 
-/// Heartbeats of the servers, where the file does not say: what the pages show.
-const fn usual_heartbeat() -> u64 {
+/// The platform's documented default.
+const fn default_heartbeat_ms() -> u64 {
     1_200
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Listen {
+struct ListenTable {
     front: Option<SocketAddr>,
     ready: Option<SocketAddr>,
 }
 
 #[derive(Debug, Deserialize)]
-struct FileBounds {
+struct BoundsTable {
     drain_ms: u64,
     grace_s: f64,
     retry_budget_ratio: f64,
@@ -60,15 +61,15 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Store {
+struct PlatformTable {
     address: SocketAddr,
 }
 
-/// Path of the settings file.
+/// Returns the path of the settings file.
 ///
 /// # Errors
 ///
-/// The variable is not set.
+/// The environment variable is not set.
 pub fn path() -> Result<PathBuf, SettingsFileError> {
     env::var_os(PATH_VARIABLE)
         .map(PathBuf::from)
@@ -79,20 +80,20 @@
 ///
 /// # Errors
 ///
-/// The file can't be read, or a field is missing or can't be.
+/// The file can't be read, or a field is missing or invalid.
 pub fn read(path: &Path) -> Result<Settings, SettingsFileError> {
     let text = fs::read_to_string(path)
         .map_err(|source| SettingsFileError::Unreadable { path: path.to_owned(), source })?;
     parse(&text)
 }
 
-/// Reads settings from their text.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
 ///
-/// A field is missing or can't be.
+/// A field is missing or invalid.
 pub fn parse(text: &str) -> Result<Settings, SettingsFileError> {
-    let file: File = toml::from_str(text)
+    let file: SettingsFile = toml::from_str(text)
         .map_err(|error| SettingsFileError::Malformed { detail: error.to_string() })?;
     let [first, last] = file.internal_ports;
     if first == 0 || first > last {
@@ -105,7 +106,7 @@
     if !(0.0..=10.0).contains(&ratio) {
         return Err(SettingsFileError::BadValue {
             field: "bounds.retry_budget_ratio",
-            remedy: "give retries a request, 0 to 10",
+            remedy: "give a number of retries per request, 0 to 10",
         });
     }
     Ok(Settings {
@@ -113,8 +114,7 @@
         hall: file.zone,
         ip: file.ip,
         internal_port: first,
-        // Addresses of a role that we do not listen for: only the machines
-        // that they name are of use.
+        // The ports are those of a protocol that mastweir doesn't speak.
         seeds: file.seeds.iter().map(SocketAddr::ip).collect(),
         caller_addr: file.listen.front,
         ready_addr: file.listen.ready,
@@ -132,11 +132,11 @@
     })
 }
 
-/// Addresses at which a gateway has to listen: for callers, and for the balancer.
+/// Returns a gateway's listen addresses: for callers, and for readiness checks.
 ///
 /// # Errors
 ///
-/// The settings are those of another class of instances.
+/// The settings have no listen addresses, as those of a sidecar.
 pub fn listeners(settings: &Settings) -> Result<(SocketAddr, SocketAddr), SettingsFileError> {
     let callers =
         settings.caller_addr.ok_or(SettingsFileError::Missing { field: "listen.front" })?;
@@ -144,11 +144,11 @@
     Ok((callers, ready))
 }
 
-/// Address of the model server on a sidecar's own instance.
+/// Returns the address of the model server next to a sidecar.
 ///
 /// # Errors
 ///
-/// The settings are those of another class of instances.
+/// The settings name no model server, as those of a gateway.
 pub fn engine(settings: &Settings) -> Result<SocketAddr, SettingsFileError> {
     settings.engine_addr.ok_or(SettingsFileError::Missing { field: "app" })
 }
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -1,12 +1,13 @@
-//! Calls to the platform's store.
+//! Client of the platform's store, in gateways and sidecars.
 //!
-//! Each call changes or reads one object, or lists or watches a kind. A call that
-//! got no answer may have been carried out, or may be later: the connection it
-//! used is closed, and callers read back before they try again.
+//! Each call reads or writes one object, or lists or watches all objects of a kind. A write
+//! that gets no answer may still be applied, even later. Its connection is closed, and callers
+//! read the object again before they retry.
 //!
-//! All answers name the store's era. It is kept by each process, so that what an answer of
-//! an earlier era says, over a connection that hung, changes nothing, and a call that began
-//! in one era and was answered in another is known as such.
+//! Every answer names the store's generation, which rises when the store is restored from an
+//! older copy. The client keeps the highest generation it has seen. It rejects answers of
+//! earlier generations, which may arrive over a connection that hung, and calls during which
+//! the generation changed.
 
 use super::{
     config, headers,
@@ -26,84 +27,79 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 use tokio::sync::watch;
 
-/// A plain call: the store answers in milliseconds, and a slow one in half a
-/// second.
+/// Timeout of calls other than watches and probes; a slow store takes half a second.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// On top of the time that a watch waits.
+/// Timeout of a watch beyond the time for which it asks the store to wait.
 const WATCH_SLACK: Duration = Duration::from_millis(1_500);
-/// A list's page is at most a megabyte, a value as well; their JSON may escape.
+/// Larger than the store's limit of 1 MB for a page or an object, as JSON escapes add to it.
 const ANSWER_BYTES_MAX: usize = 4 << 20;
 
 /// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// It turned the call away; nothing was done.
-    #[error("the store answered {status}; it will be asked again")]
-    Refused {
-        /// HTTP status.
-        status: u16,
-    },
-    /// The object is not as the call expects.
-    #[error("the object has changed meanwhile; read it again")]
+    /// The store rejected the call and did nothing.
+    #[error("the store answered {status}; the call will be repeated")]
+    Refused { status: u16 },
+    /// The object exists already or has another revision than the call expects.
+    #[error("the object has changed since it was read; read it again")]
     Conflict,
-    /// Changes since that revision are no longer known.
-    #[error("the store has forgotten changes since then; list again")]
+    /// The store no longer keeps changes as old as the watch's revision.
+    #[error("the store no longer has all changes since that revision; list the objects again")]
     HistoryGone,
-    /// The store came back from an older copy while the call was under way.
-    #[error("the store came back from an older copy meanwhile; read again")]
+    /// The store was restored from an older copy during the call or since its revision.
+    #[error("the store was restored from an older copy; read again")]
     GenerationChanged,
-    /// The answer is of before the store came back from an older copy.
-    #[error(
-        "the answer is of generation {generation} of the store, which is in {known}; ask again"
-    )]
+    /// The answer dates from before the store was restored from an older copy.
+    #[error("the answer is of store generation {generation}, before {known}; repeat the call")]
     StaleGeneration {
-        /// Its era.
+        /// Generation that the answer names.
         generation: u64,
-        /// The store's.
+        /// Highest generation seen.
         known: u64,
     },
-    /// No answer; a write may have been done.
+    /// There was no answer; a write may have been applied.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The answer is not in the format of the pages.
-    #[error("malformed answer of the store: {0}; check its version")]
+    /// The answer is not in the documented format.
+    #[error("malformed answer of the store: {0}; check the store's version")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// The store.
+/// A client of the store. Clones share the known generation.
 #[derive(Clone, Debug)]
 pub struct Store {
     addr: SocketAddr,
     pool: Rc<Pool>,
-    /// The latest era that an answer named; zero before.
+    /// Highest generation that an answer named; 0 before the first answer.
     generation: Rc<watch::Sender<u64>>,
 }
 
-/// An answer of the store, in the era that is known.
+/// An answer of the store in its latest known generation.
 pub(super) struct StoreAnswer {
     pub(super) generation: u64,
     pub(super) body: Bytes,
 }
 
 impl Store {
-    /// The store at an address.
+    /// Creates a client of the store at an address.
     pub fn new(addr: SocketAddr, pool: Rc<Pool>) -> Self {
         Self { addr, pool, generation: Rc::new(watch::Sender::new(0)) }
     }
 
-    /// The store's era, as far as its answers named it.
+    /// Returns the highest generation that an answer named; 0 before the first answer.
     pub fn generation(&self) -> u64 {
         *self.generation.borrow()
     }
 
-    /// Ends once the store is known to be in a later era.
+    /// Waits until an answer names a later generation than the given one.
     pub async fn later_generation(&self, generation: u64) {
         let mut generations = self.generation.subscribe();
-        // The sender is this store's own.
+        // Can't fail: `self` keeps the sender alive.
         let _ = generations.wait_for(|known| *known > generation).await;
     }
 
-    /// The configuration, among the objects of its kind.
+    /// Lists the objects of the configuration's kind. `None` stands for objects other than the
+    /// configuration itself.
     ///
     /// # Errors
     ///
@@ -112,7 +108,7 @@
         self.list(config::KIND, config::read).await
     }
 
-    /// Configurations written since a revision.
+    /// Waits for changes of the configuration since a revision, for `wait` at most.
     ///
     /// # Errors
     ///
@@ -125,7 +121,7 @@
         self.watch(config::KIND, since, wait, config::read).await
     }
 
-    /// All servers.
+    /// Lists all servers.
     ///
     /// # Errors
     ///
@@ -134,7 +130,7 @@
         self.list(servers::KIND, servers::read).await
     }
 
-    /// Servers that changed since a revision.
+    /// Waits for changes of servers since a revision, for `wait` at most.
     ///
     /// # Errors
     ///
@@ -147,7 +143,7 @@
         self.watch(servers::KIND, since, wait, servers::read).await
     }
 
-    /// Requests that are quarantined.
+    /// Lists the quarantined requests.
     ///
     /// # Errors
     ///
@@ -156,11 +152,11 @@
         self.list(quarantine::KIND, quarantine::read).await
     }
 
-    /// Writes a request that is quarantined.
+    /// Creates the object of a quarantined request.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] if it is there already.
+    /// [`StoreError::Conflict`] if the object exists already.
     pub async fn write_quarantine(&self, report: &SuspectReport) -> Result<(), StoreError> {
         let metadata = json!({ "name": quarantine::name(report.request) });
         let body = json!({ "metadata": metadata, "spec": quarantine::body(report)? });
@@ -168,11 +164,11 @@
         self.call(Method::POST, &path, Some(&body), CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Deletes one, under the condition that it is as it was read.
+    /// Deletes the object of a quarantined request if its revision is unchanged.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] if it was written again.
+    /// [`StoreError::Conflict`] if the object was written since it was read.
     pub async fn delete_quarantine(&self, stored: &StoredQuarantine) -> Result<(), StoreError> {
         let StoredQuarantine { report, revision } = stored;
         let name = quarantine::name(report.request);
@@ -183,8 +179,8 @@
         self.call(Method::DELETE, &path, None, CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Whether the configuration has changed since a revision, from a cheap answer that
-    /// may be seconds old.
+    /// Returns whether the configuration has changed since a revision. Reads from a replica
+    /// that may lag by seconds.
     ///
     /// # Errors
     ///
@@ -193,8 +189,8 @@
         self.probe(config::KIND, since).await
     }
 
-    /// Whether a server has changed since a revision, from a cheap answer that may be
-    /// seconds old.
+    /// Returns whether a server has changed since a revision. Reads from a replica that may
+    /// lag by seconds.
     ///
     /// # Errors
     ///
@@ -230,8 +226,8 @@
             if all.as_ref().is_some_and(|all| all.revision.generation != generation) {
                 return Err(StoreError::GenerationChanged);
             }
-            // Changes made between two pages are seen again by the watch that
-            // begins at the first page's revision.
+            // Keeps the first page's revision: a watch from there repeats changes made between
+            // two pages.
             let all = match &mut all {
                 None => all.insert(listed),
                 Some(all) => {
@@ -295,10 +291,12 @@
             _ => Err(StoreError::Refused { status }),
         }
     }
-    /// Keeps the era that an answer names; one without is of the era that is known.
-    fn note_generation(&self, told: Option<u64>) -> Result<u64, StoreError> {
+
+    /// Records the generation that an answer names. An answer that names none counts as of
+    /// the known generation.
+    fn note_generation(&self, named: Option<u64>) -> Result<u64, StoreError> {
         let known = self.generation();
-        let generation = told.unwrap_or(known);
+        let generation = named.unwrap_or(known);
         if generation < known {
             return Err(StoreError::StaleGeneration { generation, known });
         }
--- a/tests/testsuite/platform_file.rs
+++ b/tests/testsuite/platform_file.rs
@@ -1,5 +1,5 @@
-//! The settings file of the users' platform: what is read, and what is refused with
-//! its remedy.
+//! Settings file of the users' platform: unknown fields must not prevent a start, and errors of
+//! invalid settings must name the remedy.
 
 use googletest::prelude::*;
 use mastweir::platform::settings::{engine, listeners, parse};
@@ -10,7 +10,7 @@
 ip = "10.0.0.4"
 internal_ports = [7400, 7410]
 seeds = ["10.0.0.4:9000", "10.0.0.5:9000"]
-a_field_of_tomorrow = { x = 1 }
+unknown_field = { x = 1 }
 [listen]
 front = "10.0.0.4:8000"
 ready = "10.0.0.4:8001"
@@ -26,7 +26,7 @@
 "#;
 
 #[googletest::test]
-fn what_a_gateway_needs_is_read_and_the_rest_ignored() -> eyre::Result<()> {
+fn reads_gateway_settings_and_ignores_unknown_fields() -> eyre::Result<()> {
     let settings = parse(&GATEWAY.replace("[listen]", "heartbeat_ms = 1000\n[listen]"))?;
     insta::assert_debug_snapshot!(settings);
     expect_that!(listeners(&settings)?.0.port(), eq(8000));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_can_not_be_used_is_refused_with_its_remedy() -> eyre::Result<()> {
+fn errors_of_invalid_settings_name_the_remedy() -> eyre::Result<()> {
     let change = |from: &str, to: &str| {
         parse(&GATEWAY.replace(from, to)).map_or_else(|error| error.to_string(), |_| "read".into())
     };
