--- a/src/mastweir/net/channel.rs
+++ b/src/mastweir/net/channel.rs
@@ -1,4 +1,7 @@
-//! An authenticated channel over TCP.
+//! Authenticated, encrypted channels over TCP between entries and agents.
+//!
+//! A channel begins with a handshake of the Noise protocol under the fleet's secret. Each
+//! message after it is a length-prefixed frame that holds an encrypted `postcard` value.
 
 use super::Secret;
 use bytes::Bytes;
@@ -18,36 +21,34 @@
 
 const PATTERN: &str = "Noise_NNpsk0_25519_ChaChaPoly_BLAKE2s";
 const KEY_CONTEXT: &str = "mastweir 2026 channel";
-/// Place of the secret in the handshake pattern.
+/// Position of the pre-shared key in the handshake pattern.
 const PSK_POSITION: u8 = 0;
 /// Bytes that encryption adds to a frame.
 const TAG_LEN: usize = 16;
-/// Bytes of a handshake message at most.
+/// Most bytes of a handshake message.
 const HANDSHAKE_MAX: usize = 256;
-/// Time that a peer has for its part of the handshake.
+/// Time for the handshake of an accepted connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a channel can't go on.
+/// Why a channel failed. A failed channel can't be used again.
 #[derive(Debug, thiserror::Error)]
 pub enum ChannelError {
-    /// The connection could not be opened, or is lost.
-    #[error("using the connection: {0}; the peer is down or cut off")]
+    /// The connection couldn't be opened or was lost.
+    #[error("connection failed: {0}; the peer is down or unreachable")]
     Io(#[from] std::io::Error),
-    /// The peer closed it.
-    #[error("reading the next frame: the peer closed the connection")]
+    #[error("the peer closed the connection")]
     Closed,
-    /// A frame was not made under this secret, or was changed or replayed.
+    /// A frame was encrypted under another secret, altered or replayed.
     #[error("decrypting a frame: {0}; give all processes the same --secret and version")]
     Decrypt(#[from] snow::Error),
-    /// A frame is no message.
-    #[error("reading a frame: {0}; run the same version on both sides")]
+    /// A message couldn't be encoded or decoded.
+    #[error("malformed message: {0}; run the same version on both sides")]
     Malformed(#[from] postcard::Error),
-    /// The peer took too long.
-    #[error("opening the channel: no answer in time; the peer is slow or cut off")]
+    #[error("the peer did not answer in time; it is slow or unreachable")]
     Timeout,
 }
 
-/// The sending side.
+/// The sending half of a channel.
 #[derive(Debug)]
 pub struct Sender {
     frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
@@ -55,7 +56,7 @@
     nonce: u64,
 }
 
-/// The receiving side.
+/// The receiving half of a channel.
 #[derive(Debug)]
 pub struct Receiver {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
@@ -63,12 +64,10 @@
     nonce: u64,
 }
 
-/// Both sides of a channel.
+/// A channel to a peer.
 #[derive(Debug)]
 pub struct Channel {
-    /// To the peer.
     pub sender: Sender,
-    /// From the peer.
     pub receiver: Receiver,
 }
 
@@ -77,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError::Io`] if the connection is.
+    /// [`ChannelError::Io`] if the connection is lost.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), ChannelError> {
         let plain = postcard::to_stdvec(message)?;
         let mut sealed = vec![0; plain.len() + TAG_LEN];
@@ -90,11 +89,11 @@
 }
 
 impl Receiver {
-    /// Waits for the next message. Cancelling the wait loses nothing.
+    /// Waits for the next message. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] if there will be none.
+    /// [`ChannelError`] if the channel failed or was closed.
     pub async fn recv<T: DeserializeOwned>(&mut self) -> Result<T, ChannelError> {
         let sealed = self.frames.next().await.ok_or(ChannelError::Closed)??;
         let mut plain = vec![0; sealed.len()];
@@ -109,7 +108,8 @@
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] if there is no such peer, or it has another secret.
+    /// [`ChannelError`] if the peer can't be reached, has another secret or takes longer than
+    /// `limit`.
     pub async fn connect(
         addr: SocketAddr,
         secret: &Secret,
@@ -124,11 +124,11 @@
         time::timeout(limit, opening).await.map_err(|_| ChannelError::Timeout)?
     }
 
-    /// Takes a peer's connection.
+    /// Accepts a peer's connection.
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] if the peer is foreign or slow.
+    /// [`ChannelError`] if the peer has another secret, is too slow or disconnects.
     pub async fn accept(stream: TcpStream, secret: &Secret) -> Result<Self, ChannelError> {
         let key = secret.derive_key(KEY_CONTEXT);
         let noise = builder(&key)?.build_responder()?;
@@ -136,8 +136,8 @@
         time::timeout(HANDSHAKE_TIMEOUT, handshake).await.map_err(|_| ChannelError::Timeout)?
     }
 
-    /// Whether nothing says that the peer is gone. Between exchanges only: a
-    /// frame that waits to be read then counts as a closed channel too.
+    /// Returns whether an idle channel can be used again: it is open and has nothing to read. Must
+    /// not be called while an answer is awaited, as it may discard a frame.
     pub fn is_reusable(&mut self) -> bool {
         self.receiver.frames.next().now_or_never().is_none()
     }
@@ -157,7 +157,7 @@
                 noise.read_message(&hello, &mut buffer)?;
             }
         }
-        // Past the handshake the peer is known, and may send full frames.
+        // The peer is authenticated now and may send frames of full size.
         read.decoder_mut().set_max_frame_length(FRAME_MAX + TAG_LEN);
         let noise = Arc::new(noise.into_stateless_transport_mode()?);
         let sender = Sender { frames: write, noise: noise.clone(), nonce: 0 };
--- a/src/mastweir/net/channel_pool.rs
+++ b/src/mastweir/net/channel_pool.rs
@@ -1,4 +1,4 @@
-//! Open channels that wait for their next use.
+//! Pool of idle channels, with which entries avoid a handshake for each exchange with an agent.
 
 use super::{Channel, ChannelError, Secret};
 use crate::util::clock::Clock;
@@ -10,14 +10,14 @@
     time::Duration,
 };
 
-/// Idle channels kept to one peer at most.
+/// Most idle channels per peer.
 const IDLE_MAX: usize = 32;
-/// Time after which an idle channel is not used again.
-const IDLE_TIME: Duration = Duration::from_secs(30);
-/// Time to open a channel.
-const OPEN_TIME: Duration = Duration::from_secs(1);
+/// Idle channels are dropped after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for opening a channel, with the handshake.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle channels by peer. A channel carries one exchange at a time.
+/// Idle channels by peer address. A channel carries one exchange at a time.
 #[derive(Debug)]
 pub struct ChannelPool {
     secret: Secret,
@@ -26,29 +26,29 @@
 }
 
 impl ChannelPool {
-    /// A pool without channels.
+    /// Creates an empty pool.
     pub fn new(secret: Secret) -> Self {
         Self { secret, idle: Mutex::default(), clock: Clock::start() }
     }
 
-    /// An idle channel, or a new one.
+    /// Returns an idle channel or opens one.
     ///
     /// # Errors
     ///
-    /// [`ChannelError`] if none can be opened: nothing has left then.
+    /// [`ChannelError`] if no channel can be opened. Nothing was sent in this case.
     pub async fn get(&self, addr: SocketAddr) -> Result<Channel, ChannelError> {
         if let Some(channel) = self.take_idle(addr) {
             return Ok(channel);
         }
-        Channel::connect(addr, &self.secret, OPEN_TIME).await
+        Channel::connect(addr, &self.secret, OPEN_TIMEOUT).await
     }
 
-    /// Gives a channel back whose exchange has ended well.
+    /// Returns a channel to the pool after a complete exchange.
     pub fn put(&self, addr: SocketAddr, channel: Channel) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let channels = idle.entry(addr).or_default();
         let now = self.clock.now();
-        channels.retain(|(_, since)| now.since(*since) < IDLE_TIME);
+        channels.retain(|(_, since)| now.since(*since) < IDLE_TIMEOUT);
         if channels.len() < IDLE_MAX {
             channels.push((channel, now));
         }
@@ -58,7 +58,7 @@
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let channels = idle.get_mut(&addr)?;
         while let Some((mut channel, since)) = channels.pop() {
-            if self.clock.now().since(since) < IDLE_TIME && channel.is_reusable() {
+            if self.clock.now().since(since) < IDLE_TIMEOUT && channel.is_reusable() {
                 return Some(channel);
             }
         }
--- a/src/mastweir/net/http.rs
+++ b/src/mastweir/net/http.rs
@@ -1,10 +1,9 @@
-//! Calls over HTTP/1.1 with the connection in hand.
+//! HTTP/1.1 client with explicit connections, used by gateways and sidecars.
 //!
-//! A forwarded request needs to know whether any of its bytes left, must close
-//! its connection when its caller leaves, and must never share one with another
-//! request. So each exchange holds its connection as a [`Connection`], and gives
-//! it back to the [`Pool`] only after a whole answer. Everything runs on one
-//! thread.
+//! Forwarding needs to know whether any byte of a request was sent, must close the connection
+//! when the caller disconnects, and must not share it with another request. So each request
+//! owns a [`Connection`], which returns to the [`Pool`] only after a complete answer. All of it
+//! runs on one thread.
 
 use crate::util::clock::{Clock, DeadlinePassed};
 use bytes::Bytes;
@@ -21,20 +20,19 @@
 use std::{cell::RefCell, collections::HashMap, io, net::SocketAddr, time::Duration};
 use tokio::{net::TcpStream, task, time};
 
-/// Idle connections that are kept to one address.
+/// Most idle connections per address.
 const IDLE_MAX: usize = 8;
-/// An idle connection is used again within this time, unless its server says
-/// less: servers close idle ones after seconds, and may be silent about it.
+/// Longest time for which an idle connection is kept. Servers close idle connections after some
+/// seconds, often without a `Keep-Alive` header that says so.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// What is left unused of the time that a server keeps an idle connection, for
-/// the way of the last request.
+/// Margin before a server closes an idle connection, so that a request arrives in time.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Unacknowledged bytes end a connection after this time. Without it a
-/// connection to a machine that is gone hangs for minutes.
+/// Time after which a connection with unacknowledged bytes is closed, as after the crash of a
+/// machine. The system's default is many minutes.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long whoever turns a request away wants no others, if its answer says so. A date, the
-/// header's other form, is not read.
+/// Returns the `Retry-After` time of an answer with status 503 or 429. The header's date form is
+/// not supported.
 pub fn retry_after(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     let refusals = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
     if !refusals.contains(&status) {
@@ -44,65 +42,57 @@
     Duration::try_from_secs_f64(value.trim().parse().ok()?).ok()
 }
 
-/// Why a request got no answer.
+/// Why a request got no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection was opened; nothing was sent.
-    #[error("no connection to {addr}: {source}; check that it listens and can be reached")]
-    Connect {
-        /// The address.
-        addr: SocketAddr,
-        /// Why.
-        source: io::Error,
-    },
-    /// The connection ended before any byte of the request left.
-    #[error("the connection ended before the request was sent; send it again")]
+    /// No connection could be opened; nothing was sent.
+    #[error("no connection to {addr}: {source}; check that it listens and is reachable")]
+    Connect { addr: SocketAddr, source: io::Error },
+    /// The connection was closed before any byte of the request was sent.
+    #[error("the connection was closed before the request was sent; send it again")]
     Unsent,
-    /// The request left, at least in part, and there is no whole answer.
-    #[error("no whole answer: {0}; whether it was carried out is unknown")]
+    /// The connection failed after a part of the request was sent, or the answer is malformed.
+    #[error("no complete answer: {0}; it is unknown whether the request was carried out")]
     Http(#[from] hyper::Error),
-    /// The answer is larger than the caller takes.
-    #[error("the answer is larger than {limit} bytes, or broke off; raise the limit if it may be")]
+    /// The answer's body is too large or was cut off.
+    #[error("the answer was cut off or is larger than {limit} bytes")]
     IncompleteBody {
-        /// Largest answer taken.
+        /// Most bytes of a body.
         limit: usize,
     },
-    /// No answer in time.
-    #[error("no answer in time; whether it was carried out is unknown")]
+    /// There was no complete answer in time.
+    #[error("no answer in time; it is unknown whether the request was carried out")]
     Timeout(#[from] DeadlinePassed),
 }
 
 impl CallError {
-    /// Whether nothing of the request can have reached the other side.
+    /// Returns whether it is certain that no byte of the request was sent.
     pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Unsent)
     }
 
-    /// Whether what came is no answer.
+    /// Returns whether the received bytes are not a valid HTTP answer.
     pub fn is_malformed(&self) -> bool {
         let Self::Http(error) = self else { return false };
         error.is_parse()
     }
 
-    /// Whether nobody listens there.
+    /// Returns whether the other machine refused the connection, so that nothing listens there.
     pub fn is_refused(&self) -> bool {
         let Self::Connect { source, .. } = self else { return false };
         source.kind() == io::ErrorKind::ConnectionRefused
     }
 }
 
-/// A small answer, read to its end.
+/// An answer with its complete body.
 #[derive(Clone, Debug)]
 pub struct FullAnswer {
-    /// HTTP status.
     pub status: u16,
-    /// Its headers.
     pub headers: HeaderMap,
-    /// Its body.
     pub body: Bytes,
 }
 
-/// A connection that one request and its answer hold.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -110,16 +100,15 @@
 }
 
 impl Connection {
-    /// Whether its connection has ended.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends the request; the connection closes if the future is dropped.
+    /// Sends a request and waits for the answer's head. Dropping the future closes the connection.
     ///
     /// # Errors
     ///
-    /// [`CallError::Unsent`] only if no byte of it left.
+    /// [`CallError::Unsent`] only if no byte of the request was sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -143,7 +132,7 @@
     }
 }
 
-/// Idle connections by address.
+/// A pool of idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
@@ -151,7 +140,7 @@
 }
 
 impl Pool {
-    /// A connection that is idle, if there is one.
+    /// Returns an idle connection that is still usable.
     pub fn reuse(&self, addr: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&addr)?;
@@ -168,7 +157,7 @@
     ///
     /// # Errors
     ///
-    /// It could not be opened in `wait`.
+    /// No connection could be opened within `wait`.
     pub async fn open(&self, addr: SocketAddr, wait: Duration) -> Result<Connection, CallError> {
         let connect = async {
             let stream = TcpStream::connect(addr).await?;
@@ -176,21 +165,20 @@
             SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
             Ok(stream)
         };
-        let late = || io::Error::from(io::ErrorKind::TimedOut);
-        let stream = time::timeout(wait, connect).await.unwrap_or_else(|_| Err(late()));
+        let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
+        let stream = time::timeout(wait, connect).await.unwrap_or_else(|_| Err(timed_out()));
         let stream = stream.map_err(|source| CallError::Connect { addr, source })?;
         let (sender, connection) = http1::Builder::new()
             .preserve_header_case(true)
             .handshake(TokioIo::new(stream))
             .await?;
-        // Its end shows at the request that holds it; an idle one's is of no
-        // interest.
+        // The request that uses the connection gets its error, so it is dropped here.
         task::spawn_local(async move { drop(connection.await) });
         Ok(Connection { sender, addr })
     }
 
-    /// Keeps a connection whose answer was read to its end. `keep` is how long
-    /// its server keeps it, if it said so.
+    /// Returns a connection to the pool after a complete answer. `keep` is the time for which the
+    /// server keeps the idle connection open, if known.
     pub fn release(&self, connection: Connection, keep: Option<Duration>) {
         let lifetime = keep.map_or(IDLE_TIMEOUT, |keep| keep.saturating_sub(IDLE_MARGIN));
         let now = self.clock.now();
@@ -203,13 +191,12 @@
         }
     }
 
-    /// Closes idle connections to an address.
+    /// Closes the idle connections to an address.
     fn close_idle(&self, addr: SocketAddr) {
         self.idle.borrow_mut().remove(&addr);
     }
 
-    /// Closes idle connections that are past their time, and forgets addresses
-    /// that have none.
+    /// Closes expired idle connections and removes addresses without connections.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
@@ -219,7 +206,8 @@
         idle.retain(|_, list| !list.is_empty());
     }
 
-    /// One call with a small answer: over an idle connection if there is one.
+    /// Sends a request over an idle or a new connection and reads the complete answer, of `limit`
+    /// bytes at most.
     ///
     /// # Errors
     ///
@@ -231,13 +219,13 @@
         wait: Duration,
         limit: usize,
     ) -> Result<FullAnswer, CallError> {
-        let called = self.exchange(addr, request, wait, limit).await;
-        if matches!(called, Err(CallError::Timeout(_))) {
-            // What silenced this connection may have silenced the idle ones beside it;
-            // each would cost another call its whole wait.
+        let answer = self.exchange(addr, request, wait, limit).await;
+        if matches!(answer, Err(CallError::Timeout(_))) {
+            // The idle connections may be dead for the same reason, and each would let another
+            // call time out.
             self.close_idle(addr);
         }
-        called
+        answer
     }
 
     async fn exchange(
--- a/src/mastweir/net/internal.rs
+++ b/src/mastweir/net/internal.rs
@@ -1,4 +1,4 @@
-//! Small calls between mastweir's own processes: HTTP/1.1 with `postcard`.
+//! Calls between gateways and sidecars: HTTP/1.1 POST requests with `postcard` bodies.
 
 use super::http::{CallError, FullAnswer, Pool};
 use bytes::Bytes;
@@ -12,25 +12,25 @@
 use std::{convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{net::TcpListener, task};
 
-/// Largest body either way: a configuration of thousands of routes is some
-/// hundred KB.
+/// Most bytes of a request's or an answer's body; a configuration of thousands of routes has a
+/// few hundred KB.
 const BODY_BYTES_MAX: usize = 4 << 20;
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum InternalError {
-    /// No answer.
+    /// There was no complete answer.
     #[error(transparent)]
     Call(#[from] CallError),
-    /// The other side has nothing to give, or does not know the call.
-    #[error("the other process answered {0}; it may be older, or still starting")]
+    /// HTTP status of a process that doesn't know the path or has no answer yet.
+    #[error("the other process answered {0}; it may run an older version or still be starting")]
     Status(u16),
-    /// The two are of different versions.
-    #[error("malformed answer: {0}; run one version everywhere")]
+    /// A message couldn't be encoded or decoded.
+    #[error("malformed message: {0}; run the same version everywhere")]
     Malformed(#[from] postcard::Error),
 }
 
-/// Calls a path of another process.
+/// Sends a message to a path of another process and returns the decoded answer.
 ///
 /// # Errors
 ///
@@ -39,10 +39,10 @@
     pool: &Pool,
     addr: SocketAddr,
     path: &str,
-    asked: &A,
+    message: &A,
     wait: Duration,
 ) -> Result<B, InternalError> {
-    let body = postcard::to_stdvec(asked)?;
+    let body = postcard::to_stdvec(message)?;
     let request = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -56,8 +56,8 @@
     Ok(postcard::from_bytes(&body)?)
 }
 
-/// Serves calls until the listener is dropped. `answer` gives the body for a path
-/// and a body, or none.
+/// Serves calls until the future is dropped. `answer` maps a path and a body to the answer's
+/// body; `None` becomes a 404.
 pub async fn serve<F>(listener: TcpListener, answer: impl Fn(String, Bytes) -> F + 'static)
 where
     F: Future<Output = Option<Vec<u8>>> + 'static,
@@ -71,7 +71,7 @@
             async move { Ok::<_, Infallible>(respond(request, &*answer).await) }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // A broken connection concerns its caller alone.
+        // A failed connection affects only its caller.
         task::spawn_local(async move { drop(connection.await) });
     }
 }
--- a/src/mastweir/net/mod.rs
+++ b/src/mastweir/net/mod.rs
@@ -1,10 +1,17 @@
-//! What mastweir's processes say to each other.
+//! Network communication of mastweir's processes.
 //!
-//! Over TCP a [`Channel`]: a handshake and transport of the Noise protocol
-//! (`snow`) under the fleet's [`Secret`], so foreign, changed and replayed
-//! frames fail to decrypt. Over UDP a [`Socket`]: datagrams with a keyed hash.
-//! Both carry the `postcard` messages of [`mastweir_core::wire`], bounded in
-//! size before anything is allocated for them.
+//! Entries and agents use channels and datagrams, which are authenticated by the fleet's
+//! [`Secret`]:
+//!
+//! - a [`Channel`] runs the Noise protocol (`snow`) over TCP, so foreign, altered and replayed
+//!   frames fail to decrypt;
+//! - a [`Socket`] sends UDP datagrams with a keyed hash.
+//!
+//! Both carry the `postcard` messages of [`mastweir_core::wire`] and check a message's size
+//! before they allocate memory for it.
+//!
+//! Gateways and sidecars use HTTP/1.1: [`http`] for requests to servers and to the platform,
+//! [`internal`] for calls to each other.
 
 mod channel;
 mod channel_pool;
@@ -19,16 +26,16 @@
 use crate::util::settings::SettingsError;
 use std::{fmt, str::FromStr};
 
-/// The secret that the fleet's processes share.
+/// The secret that all processes of the fleet share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret([u8; 32]);
 
 impl Secret {
     const LENGTH_MIN: usize = 16;
 
-    /// A key for one purpose, derived from the secret.
-    pub fn derive_key(&self, purpose: &str) -> [u8; 32] {
-        blake3::derive_key(purpose, &self.0)
+    /// Derives a key. Each use of the secret needs a `context` of its own.
+    pub fn derive_key(&self, context: &str) -> [u8; 32] {
+        blake3::derive_key(context, &self.0)
     }
 }
 
--- a/src/mastweir/net/socket.rs
+++ b/src/mastweir/net/socket.rs
@@ -1,4 +1,8 @@
-//! Datagrams with a keyed hash, in rising order for each sender.
+//! Authenticated UDP datagrams between entries and agents.
+//!
+//! Each datagram ends with a keyed hash under the fleet's secret. Receivers drop foreign and
+//! malformed datagrams. They also drop a datagram that isn't newer than the last one of its
+//! sender, by incarnation and sequence number.
 
 use super::Secret;
 use mastweir_core::{
@@ -19,34 +23,33 @@
 
 const KEY_CONTEXT: &str = "mastweir 2026 datagram";
 const MAC_LEN: usize = 16;
-/// Bytes of the headers of IP (version 4) and UDP.
+/// Bytes of the IPv4 and UDP headers.
 const HEADER_BYTES: usize = 28;
-/// Senders remembered at most; foreign ones never get that far.
+/// Most senders whose last sequence number is kept. Only authenticated senders count.
 const SENDERS_MAX: usize = 8_192;
 
-/// A datagram that was accepted.
+/// A datagram that passed all checks.
 #[derive(Clone, Debug)]
 pub struct Received {
-    /// Address that it came from.
+    /// Address of the sender.
     pub addr: SocketAddr,
-    /// What was in it.
     pub datagram: Datagram,
 }
 
-/// A UDP socket of one process.
+/// The UDP socket of a process.
 #[derive(Debug)]
 pub struct Socket {
     udp: UdpSocket,
     own: Fence,
     key: [u8; 32],
     seq: AtomicU64,
-    last: Mutex<HashMap<String, (Incarnation, u64)>>,
+    last_seq: Mutex<HashMap<String, (Incarnation, u64)>>,
     dropped: AtomicU64,
     sent: TrafficCounter,
     received: TrafficCounter,
 }
 
-/// Datagrams and their bytes, counted.
+/// Numbers of datagrams and bytes in one direction.
 #[derive(Debug, Default)]
 struct TrafficCounter {
     messages: AtomicU64,
@@ -60,49 +63,49 @@
     }
 }
 
-/// Datagrams that a process sent and received.
+/// Datagrams that a process has sent and received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Datagrams.
     pub messages: u64,
-    /// Their bytes, with the headers of IP and UDP.
+    /// Bytes, with the IPv4 and UDP headers.
     pub bytes: u64,
-    /// Foreign, malformed and replayed ones, which were dropped.
+    /// Received datagrams that were foreign, malformed or replayed, and packets too large to send.
     pub dropped: u64,
 }
 
 impl Socket {
-    /// Opens the socket.
+    /// Opens a socket at an address.
     ///
     /// # Errors
     ///
-    /// The address can't be used.
+    /// The address can't be bound.
     pub async fn bind(addr: SocketAddr, own: Fence, secret: &Secret) -> io::Result<Self> {
         Ok(Self {
             udp: UdpSocket::bind(addr).await?,
             own,
             key: secret.derive_key(KEY_CONTEXT),
             seq: AtomicU64::new(1),
-            last: Mutex::default(),
+            last_seq: Mutex::default(),
             dropped: AtomicU64::new(0),
             sent: TrafficCounter::default(),
             received: TrafficCounter::default(),
         })
     }
 
-    /// The address it listens at.
+    /// Returns the address to which the socket is bound.
     ///
     /// # Errors
     ///
-    /// The system does not tell.
+    /// The operating system reports an error.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.udp.local_addr()
     }
 
-    /// Datagrams so far, both ways.
+    /// Returns the traffic so far, of both directions together.
     pub fn traffic(&self) -> Traffic {
-        let sum = |of: fn(&TrafficCounter) -> &AtomicU64| {
-            of(&self.sent).load(Ordering::Relaxed) + of(&self.received).load(Ordering::Relaxed)
+        let sum = |counter: fn(&TrafficCounter) -> &AtomicU64| {
+            counter(&self.sent).load(Ordering::Relaxed)
+                + counter(&self.received).load(Ordering::Relaxed)
         };
         Traffic {
             messages: sum(|count| &count.messages),
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Sends a packet. Whether it arrives is not known.
+    /// Sends a packet without any guarantee of delivery.
     pub async fn send(&self, to: SocketAddr, packet: &Packet) {
         let datagram = Datagram {
             version: VERSION,
@@ -128,21 +131,21 @@
         let mac = blake3::keyed_hash(&self.key, &bytes);
         bytes.extend_from_slice(&mac.as_bytes()[..MAC_LEN]);
         self.sent.add(bytes.len() + HEADER_BYTES);
-        // A full or closed socket loses the packet as the network may.
+        // Senders cope with lost packets, so a local error counts as a loss.
         let _ = self.udp.send_to(&bytes, to).await;
     }
 
-    /// Waits for the next datagram that is ours and new.
+    /// Waits for the next datagram that passes all checks. Drops others.
     ///
     /// # Errors
     ///
-    /// The socket fails.
+    /// The socket failed.
     pub async fn recv(&self) -> io::Result<Received> {
         let mut buffer = [0; DATAGRAM_MAX];
         loop {
             let (len, addr) = match self.udp.recv_from(&mut buffer).await {
                 Ok(read) => read,
-                // What a former peer's closed port sends back.
+                // Reported by the ICMP error of a peer whose port is closed.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => continue,
                 Err(error) => return Err(error),
             };
@@ -167,7 +170,7 @@
     }
 
     fn is_new(&self, datagram: &Datagram) -> bool {
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut last = self.last_seq.lock().unwrap_or_else(PoisonError::into_inner);
         let order = (datagram.incarnation, datagram.seq);
         if let Some(seen) = last.get_mut(&datagram.from) {
             let new = order > *seen;
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -261,9 +261,9 @@
     }
 
     async fn get(&self, path: &str) -> Result<FullAnswer, EngineError> {
-        let called = self.call(Method::GET, path, Vec::new(), CALL_TIMEOUT).await?;
-        let status = called.status;
-        if status == 200 { Ok(called) } else { Err(EngineError::Refused { status }) }
+        let answer = self.call(Method::GET, path, Vec::new(), CALL_TIMEOUT).await?;
+        let status = answer.status;
+        if status == 200 { Ok(answer) } else { Err(EngineError::Refused { status }) }
     }
 
     async fn call(
--- a/src/mastweir/platform/store.rs
+++ b/src/mastweir/platform/store.rs
@@ -281,8 +281,8 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(bytes)))
             .map_err(|_| StoreError::Refused { status: 400 })?;
-        let called = self.pool.call(self.addr, request, wait, ANSWER_BYTES_MAX).await?;
-        let FullAnswer { status, headers, body } = called;
+        let answer = self.pool.call(self.addr, request, wait, ANSWER_BYTES_MAX).await?;
+        let FullAnswer { status, headers, body } = answer;
         let generation = self.note_generation(headers::read_generation(&headers))?;
         match status {
             200..=299 => Ok(StoreAnswer { generation, body }),
