--- a/src/mastweir/objects/client.rs
+++ b/src/mastweir/objects/client.rs
@@ -1,4 +1,4 @@
-//! The client of a Kubernetes-style object API.
+//! HTTP client of the object API.
 
 use super::{Collection, LastWrite, List, Metadata, Object};
 use futures_util::{Stream, StreamExt, TryStreamExt};
@@ -19,38 +19,39 @@
 };
 
 const GROUP_PATH: &str = "apis/mastweir.dev/v1";
-/// Time for one call.
+/// Timeout of a call other than a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a watch is left open; the API counts each opening as a call.
+/// Seconds for which the API keeps a watch open. Long, since each start of a watch counts as a
+/// call.
 const WATCH_SECS: u64 = 300;
-/// Bytes of one line of a watch at most.
+/// Most bytes of a line, which is one event of a watch.
 const LINE_MAX: usize = 1 << 20;
 
-/// Why a call to the object API brought nothing.
+/// Why a call to the object API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ObjectError {
-    /// Another write came first.
+    /// The object was written since the given version.
     #[error("writing {0}: it has changed since it was read; read it again")]
     Conflict(String),
-    /// There is such an object already.
+    /// An object of this name exists already.
     #[error("creating {0}: it exists already; update it instead")]
     Exists(String),
-    /// There is no such object.
+    /// No object of this name exists.
     #[error("reading {0}: there is no such object; check the name with 'mastweir table list'")]
     NotFound(String),
-    /// The version to watch from is too old.
+    /// The API no longer keeps changes as old as the given version.
     #[error("watching {0}: the version is too old; list again")]
     VersionTooOld(&'static str),
-    /// The API said no.
+    /// The API answered with another error status.
     #[error("calling the object API: status {0}; check --platform and --token")]
     Status(StatusCode),
-    /// No answer: a write may have landed or not.
-    #[error("calling the object API: {0}; a write may have landed, read it back")]
+    /// There was no complete answer; a write may have been applied.
+    #[error("calling the object API: {0}; a write may have been applied, read the object again")]
     NoResponse(#[from] reqwest::Error),
 }
 
 impl ObjectError {
-    /// Whether a write may have landed all the same.
+    /// Returns whether a write that failed in this way may have been applied.
     pub fn is_outcome_unknown(&self) -> bool {
         match self {
             Self::NoResponse(error) => !error.is_connect(),
@@ -64,18 +65,16 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "type", content = "object", rename_all = "UPPERCASE")]
 pub enum WatchEvent<T> {
-    /// A new object.
     Added(Object<T>),
-    /// A changed object.
     Modified(Object<T>),
-    /// A deleted object, at the version of its deletion.
+    /// The object's version is that of the deletion.
     Deleted(Object<T>),
 }
 
-/// A running watch.
+/// Events of a running watch. The stream ends when the API closes the watch.
 pub type Watcher<T> = Pin<Box<dyn Stream<Item = Result<WatchEvent<T>, io::Error>> + Send>>;
 
-/// The object API.
+/// A client of the object API. Clones share connections and the call counter.
 #[derive(Clone, Debug)]
 pub struct ObjectClient {
     client: Client,
@@ -85,23 +84,23 @@
 }
 
 impl ObjectClient {
-    /// A client for the API at `base`.
+    /// Creates a client for the API at the URL `base`.
     ///
     /// # Errors
     ///
-    /// No client can be made.
+    /// The HTTP client can't be set up.
     pub fn new(base: &str, token: &str) -> eyre::Result<Self> {
         let client = Client::builder().connect_timeout(CALL_TIMEOUT).build()?;
         let base = base.trim_end_matches('/').to_owned();
         Ok(Self { client, base, token: token.to_owned(), calls: Arc::default() })
     }
 
-    /// Calls made so far, watches included.
+    /// Returns the number of calls so far, watches included.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Lists a collection.
+    /// Lists the objects of a collection.
     ///
     /// # Errors
     ///
@@ -114,7 +113,7 @@
         Ok(check(response, collection.as_str())?.json().await?)
     }
 
-    /// Asks whether the API answers, at the price of a read of one object.
+    /// Checks that the API answers, by listing one object.
     ///
     /// # Errors
     ///
@@ -125,11 +124,11 @@
         Ok(())
     }
 
-    /// Watches a collection from a version on.
+    /// Watches a collection for changes after a version.
     ///
     /// # Errors
     ///
-    /// [`ObjectError::VersionTooOld`] asks for a list first.
+    /// [`ObjectError::VersionTooOld`] if the collection must be listed again first.
     pub async fn watch<T: DeserializeOwned + Send + 'static>(
         &self,
         collection: Collection,
@@ -170,11 +169,11 @@
         Ok(check(response, name)?.json().await?)
     }
 
-    /// Creates an object, if there is none of the name.
+    /// Creates an object.
     ///
     /// # Errors
     ///
-    /// [`ObjectError::Exists`] if there is.
+    /// [`ObjectError::Exists`] if an object of this name exists.
     pub async fn create<T: Serialize + DeserializeOwned>(
         &self,
         collection: Collection,
@@ -189,11 +188,11 @@
         Ok(check(response, name)?.json().await?)
     }
 
-    /// Replaces an object, if its version is still the one given in it.
+    /// Replaces an object if its stored version is still the one in `object`.
     ///
     /// # Errors
     ///
-    /// [`ObjectError::Conflict`] if it is not.
+    /// [`ObjectError::Conflict`] if the version has changed.
     pub async fn update<T: Serialize + DeserializeOwned>(
         &self,
         collection: Collection,
@@ -204,11 +203,11 @@
         Ok(check(self.send(request).await?, name)?.json().await?)
     }
 
-    /// Deletes an object, if its version is still `version`.
+    /// Deletes an object if its version is still `version`.
     ///
     /// # Errors
     ///
-    /// [`ObjectError::Conflict`] if it is not.
+    /// [`ObjectError::Conflict`] if the version has changed.
     pub async fn delete(
         &self,
         collection: Collection,
@@ -234,7 +233,7 @@
 }
 
 impl<T> Object<T> {
-    /// A new object, not written yet.
+    /// Creates an object that isn't stored yet. `by` and `operation` are those of [`LastWrite`].
     pub fn new(name: &str, by: &str, operation: &str, spec: T) -> Self {
         let metadata = Metadata { name: name.to_owned(), resource_version: String::new() };
         let written = LastWrite { by: by.to_owned(), operation: operation.to_owned() };
--- a/src/mastweir/objects/liveness.rs
+++ b/src/mastweir/objects/liveness.rs
@@ -1,5 +1,5 @@
-//! Whether a watch of the object API can still bring anything: see
-//! [`mastweir_core::gateway::Liveness`], which decides it.
+//! Detection of outages of the object API, after which a watch may stay silent for ever. The
+//! decision is made by [`mastweir_core::gateway::Liveness`].
 
 use super::{Collection, ObjectClient};
 use mastweir_core::gateway::{Liveness, PROBE_TIMEOUT, ProbeResult};
@@ -7,17 +7,17 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Ends when a watch opened before this call can't be trusted any more: the API was away,
-/// and answers again. It is asked each `every`.
+/// Returns when watches opened before this call must be restarted, as the API answers again
+/// after an outage. Probes the API about interval `interval`.
 pub async fn wait_for_outage(
     platform: &ObjectClient,
     collection: Collection,
-    every: Duration,
+    interval: Duration,
     log: &Logger,
 ) {
     let mut liveness = Liveness::default();
     loop {
-        time::sleep(liveness.probe_interval(every)).await;
+        time::sleep(liveness.probe_interval(interval)).await;
         let answered = time::timeout(PROBE_TIMEOUT, platform.probe(collection)).await;
         let probe = if matches!(answered, Ok(Ok(()))) {
             ProbeResult::Unchanged
@@ -25,7 +25,7 @@
             ProbeResult::Missed
         };
         if liveness.record_probe(probe).is_some() {
-            info!(log, "watch given up behind an outage"; "collection" => collection.as_str());
+            info!(log, "watch dropped after an outage of the object API"; "collection" => collection.as_str());
             return;
         }
     }
--- a/src/mastweir/objects/mod.rs
+++ b/src/mastweir/objects/mod.rs
@@ -1,10 +1,9 @@
-//! The platform's object API and instance list.
+//! Client of the object API that entries, agents and operators' commands use.
 //!
-//! Everything that must be agreed or must last goes through here, and nothing
-//! here is needed to serve a request that may be repeated or has a ticket.
-//! [`Platform`] speaks a REST list-watch-update protocol in the published
-//! Kubernetes style; another API is another `client` module with the same
-//! methods.
+//! The API stores everything that must be durable or agreed on: the table's rows, first
+//! submissions under plain keys, coordinators' leases and the list of instances. Requests that
+//! may be repeated or carry a ticket are served without it. [`ObjectClient`] speaks the REST
+//! list-watch-update protocol of Kubernetes.
 
 mod client;
 mod liveness;
--- a/src/mastweir/objects/object.rs
+++ b/src/mastweir/objects/object.rs
@@ -1,24 +1,24 @@
-//! Objects as the API holds them.
+//! Objects of the object API, as they are encoded in JSON.
 
 use mastweir_core::outcome::Binding;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Collections that mastweir uses.
+/// A collection of objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Collection {
-    /// Rows of the table.
+    /// Rows of the table of customers and drains.
     Rows,
     /// First submissions under plain keys.
     Keys,
-    /// Leases of coordinators.
+    /// Leases of group coordinators.
     Leases,
-    /// The platform's list of instances; it lags.
+    /// The platform's list of instances, which lags behind their actual state.
     Instances,
 }
 
 impl Collection {
-    /// Its name in paths.
+    /// Returns the collection's name in URL paths.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Rows => "rows",
@@ -29,114 +29,104 @@
     }
 }
 
-/// What the API knows of an object.
+/// Metadata of an object or a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Metadata {
-    /// Name, unique in the collection.
+    /// Unique in the collection.
     pub name: String,
-    /// Version; rises with each write to any object.
+    /// Version, which rises with each write to any object. Empty before the first write.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub resource_version: String,
 }
 
-/// Who wrote an object last, and in which operation.
+/// The last write of an object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastWrite {
-    /// Name of the operator or process.
+    /// Name of the writing operator or process.
     pub by: String,
-    /// Drawn for each write: after a lost reply, reading it back tells whether
-    /// the write landed.
+    /// Random id of the write. A writer whose answer was lost finds out by it whether the write
+    /// was applied.
     pub operation: String,
 }
 
 /// An object with content `T`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object<T> {
-    /// What the API knows of it.
     pub metadata: Metadata,
-    /// Who wrote it.
     #[serde(default)]
     pub written: LastWrite,
-    /// Its content.
     pub spec: T,
 }
 
 impl<T> Object<T> {
-    /// Its version as a number; 0 if it has none.
+    /// Returns the version as a number; 0 if it is empty or malformed.
     pub fn version(&self) -> u64 {
         self.metadata.resource_version.parse().unwrap_or(0)
     }
 }
 
-/// A collection at a version.
+/// All objects of a collection at one version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List<T> {
-    /// The version is in here.
+    /// Holds the version.
     pub metadata: Metadata,
-    /// The objects.
     pub items: Vec<Object<T>>,
 }
 
-/// What an instance is for.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceRole {
-    /// An entry instance.
+    /// Accepts callers' requests.
     Entry,
-    /// A server with an agent in its slot.
+    /// Runs an engine and an agent.
     Server,
 }
 
-/// What the platform thinks of an instance.
+/// State of an instance according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
-    /// It runs.
     Live,
-    /// It is about to go.
+    /// Will be stopped.
     Leaving,
 }
 
-/// The part of a rank group that a server holds.
+/// The ranks of a group that run on a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupSpec {
-    /// Name of the group.
     pub name: String,
-    /// Its first rank here.
+    /// First of the server's ranks.
     pub first: u16,
-    /// Ranks here.
+    /// Number of ranks on the server.
     pub ranks: u16,
-    /// Ranks of the whole group.
+    /// Number of ranks in the group.
     pub of: u16,
 }
 
 /// An instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceSpec {
-    /// What it is for.
     pub role: InstanceRole,
-    /// Its data hall.
     pub hall: String,
-    /// Where our process on it listens for channels.
+    /// Address of mastweir's process for channels.
     pub tcp: SocketAddr,
-    /// Where our process on it listens for datagrams.
+    /// Address of mastweir's process for datagrams.
     pub udp: SocketAddr,
-    /// Where an entry serves callers and operators.
+    /// Address of an entry for callers and operators; `None` for servers.
     pub http: Option<SocketAddr>,
-    /// What the platform thinks of it.
     pub state: InstanceState,
-    /// Services that a server serves.
+    /// Services that a server provides; empty for entries.
     pub services: Vec<String>,
-    /// The rank group that it is part of.
+    /// `None` if the instance is in no rank group.
     pub group: Option<GroupSpec>,
 }
 
-/// The first submission under a plain key: where its operation may run.
+/// The first submission under a plain key. It fixes where the operation may run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeySpec {
-    /// Name of the service.
     pub service: String,
-    /// Places to try in this order.
+    /// Bindings in the order in which they are tried.
     pub bindings: Vec<Binding>,
 }
