--- a/src/mastweir/context.rs
+++ b/src/mastweir/context.rs
@@ -1,4 +1,5 @@
-//! What every part of a process needs, passed down from `main`.
+//! State that all parts of an entry's or agent's process share. It is created once at start and
+//! passed down from `main`.
 
 use crate::{
     net::Secret,
@@ -9,59 +10,51 @@
 use slog::Logger;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// What a [`Context`] is made from.
+/// Settings of a [`Context`].
 #[derive(Clone, Debug)]
 pub struct ContextOptions {
-    /// Name in the instance list.
+    /// Name in the list of instances.
     pub name: String,
-    /// Data hall.
     pub hall: String,
-    /// Secret shared by the fleet's processes.
+    /// Secret that all processes of the fleet share.
     pub secret: Secret,
-    /// Base address of the object API.
+    /// Base URL of the object API.
     pub objects_url: String,
-    /// Bearer token for it.
+    /// Bearer token for the object API.
     pub api_token: String,
-    /// Where statsd metrics go, if anywhere.
+    /// Address of the statsd server; `None` discards metrics.
     pub statsd: Option<std::net::SocketAddr>,
-    /// The log.
     pub log: Logger,
 }
 
-/// Identity, clock, log, metrics and platform of a process.
+/// Identity, clock, log, metrics and object client of a process.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// Name in the instance list.
+    /// Name in the list of instances.
     pub name: String,
-    /// Data hall.
     pub hall: String,
-    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Secret shared by the fleet's processes.
+    /// Secret that all processes of the fleet share.
     pub secret: Secret,
-    /// Clock of this process.
     pub clock: Clock,
-    /// Object API.
     pub objects: ObjectClient,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Log.
     pub log: Logger,
 }
 
 impl Context {
-    /// Makes the context of a process that starts now.
+    /// Creates the context of a starting process.
     ///
     /// # Errors
     ///
-    /// The client of the object API, or the metrics' socket, can't be made.
+    /// The client of the object API or the metrics' socket can't be set up.
     pub fn new(options: &ContextOptions) -> eyre::Result<Self> {
         let objects = ObjectClient::new(&options.objects_url, &options.api_token)?;
         let log = options.log.new(slog::o!("instance" => options.name.clone()));
         Ok(Self {
             name: options.name.clone(),
             hall: options.hall.clone(),
-            incarnation: draw_incarnation(),
+            incarnation: new_incarnation(),
             secret: options.secret.clone(),
             clock: Clock::start(),
             objects,
@@ -70,16 +63,16 @@
         })
     }
 
-    /// This life of this process.
+    /// Returns the name and incarnation of this process.
     pub fn fence(&self) -> Fence {
         Fence { server: self.name.clone(), incarnation: self.incarnation }
     }
 }
 
-/// Wall-clock microseconds at start: a later life of a name has a larger one.
-/// The only use of the wall clock; a clock that steps back over a restart makes
-/// others ignore the new life until it catches up.
-fn draw_incarnation() -> Incarnation {
+/// Returns the Unix time in microseconds, so that a later incarnation of a name has a larger
+/// number. If the wall clock steps back over a restart, other processes ignore the new incarnation
+/// until the clock catches up.
+fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     Incarnation(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
 }
--- a/src/mastweir/lib.rs
+++ b/src/mastweir/lib.rs
@@ -1,19 +1,25 @@
 //! Mastweir: a load balancer for expert-parallel model groups.
 //!
-//! The decisions live in [`mastweir_core`], without I/O. This crate puts
-//! sockets, files and timers round them:
+//! The decisions are made in [`mastweir_core`], which does no I/O. This crate adds sockets, files
+//! and timers. It has two pairs of processes. Entries and agents speak mastweir's own protocol:
 //!
-//! - [`entry`]: the entry instance, between callers and agents;
-//! - [`agent`]: the process in a server's slot, between entries and the engine;
-//! - [`net`]: the authenticated channel and the datagrams between them;
-//! - [`objects`]: the object API of our own interface, where what must last is kept;
-//! - [`gateway`]: forwarding of requests as they are, on the users' platform;
-//! - [`sidecar`]: beside a model server there: reports, and expert maps;
-//! - [`platform`]: what that platform calls things, and nothing that decides;
-//! - [`ops`]: what operators do, one operation a module;
+//! - [`entry`]: accepts callers' requests and sends them to agents;
+//! - [`agent`]: runs next to an engine and passes requests to it;
+//! - [`objects`]: client of the object API, which stores durable state.
+//!
+//! Gateways and sidecars run on the users' platform:
+//!
+//! - [`gateway`]: forwards callers' requests unchanged to servers;
+//! - [`sidecar`]: runs next to a model server, reports its load and changes expert maps;
+//! - [`platform`]: the platform's names, formats and calls.
+//!
+//! Shared modules:
+//!
+//! - [`net`]: channels, datagrams and HTTP connections;
+//! - [`ops`]: operators' commands, one per module;
 //! - [`util`]: clock, logs, metrics and settings.
 //!
-//! A [`Context`] is made once at start and passed down. There are no globals.
+//! Entries and agents create a [`Context`] at start and pass it down. There are no globals.
 
 pub mod agent;
 mod context;
--- a/src/mastweir/util/clock.rs
+++ b/src/mastweir/util/clock.rs
@@ -1,10 +1,9 @@
-//! The process's clock, as [`Uptime`].
+//! The process's clock, which returns [`Uptime`] and keeps counting while the machine is
+//! suspended.
 //!
-//! It counts the time for which the machine is suspended. The clock behind timers and
-//! `Instant` does not: by that a coordinator that was suspended would give orders from
-//! states that are seconds old, and a server would be given more time than its caller has.
-//! So whatever is compared with a deadline, or tells how old something is, is read here, and
-//! timers only wake those who then look here.
+//! Timers and `Instant` stand still during a suspension. With them, a coordinator would give
+//! orders based on outdated states after a suspension, and deadlines would be late. So deadlines
+//! and ages are computed with this clock, and timers only wake tasks that then check it.
 
 use mastweir_core::time::Uptime;
 use rustix::time::{ClockId, clock_gettime};
@@ -17,38 +16,37 @@
 };
 use tokio::time;
 
-/// A timer that was set before a suspension is late by its length. Whoever waits for a point
-/// in time looks at the clock this often at least, so it is late by no more.
+/// Longest sleep between two checks of the clock, which bounds the delay of a deadline after a
+/// suspension.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A point in time has passed.
+/// A deadline has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the deadline has passed; give more time, or try again")]
 pub struct DeadlinePassed;
 
-/// A clock that began at the process's start.
+/// A clock that starts at zero when it is created. Clones share the time.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// When it began, since the machine's start.
+    /// Time from the machine's boot to the clock's start.
     start: Duration,
-    /// Microseconds for which a test had the machine suspended.
+    /// Microseconds of suspensions simulated by tests.
     suspended: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that begins now.
+    /// Starts a clock.
     pub fn start() -> Self {
         Self { start: since_boot(), suspended: Arc::default() }
     }
 
-    /// Time since it began.
+    /// Returns the time since the clock's start.
     pub fn now(&self) -> Uptime {
         let suspended = Duration::from_micros(self.suspended.load(Ordering::Relaxed));
         Uptime::default() + since_boot().saturating_sub(self.start) + suspended
     }
 
-    /// Does to the clock what a suspension of the machine does: time has gone on, and timers
-    /// have stood still.
+    /// Simulates a suspension of the machine: advances the clock but no timers.
     pub fn simulate_suspend(&self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         self.suspended.fetch_add(micros, Ordering::Relaxed);
@@ -65,11 +63,11 @@
         }
     }
 
-    /// Waits for a future until a point in time.
+    /// Waits for a future until a deadline.
     ///
     /// # Errors
     ///
-    /// [`DeadlinePassed`] if that passes first.
+    /// [`DeadlinePassed`] if the future isn't ready by then.
     pub async fn timeout_at<T>(
         &self,
         until: Uptime,
@@ -89,7 +87,7 @@
     }
 }
 
-/// Time since the machine's start, with suspensions.
+/// Returns the time since the machine's boot, suspensions included.
 fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     let secs = u64::try_from(now.tv_sec).unwrap_or_default();
--- a/src/mastweir/util/log.rs
+++ b/src/mastweir/util/log.rs
@@ -1,26 +1,26 @@
-//! Logs: for people or as JSON, to standard error or output.
+//! Setup of the process's log: as text or JSON, to standard error or output.
 //!
-//! Rocket has a log of its own, through the `log` crate, at levels that it sets
-//! itself. It is compiled out: the `log` dependency is there for that alone.
+//! Rocket logs through the `log` crate. The dependency on that crate exists only to disable
+//! those messages by a feature.
 
 use log as _;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 use std::{io, sync::Mutex};
 
-/// How log lines are written.
+/// Format and destination of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text to standard error.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line, to standard error.
     Json,
-    /// The same, to standard output.
+    /// One JSON object per line, to standard output.
     JsonOut,
-    /// Not at all.
+    /// No log.
     Off,
 }
 
-/// Makes the process's log.
+/// Creates the process's logger.
 pub fn make(format: Format, level: Level) -> Logger {
     match format {
         Format::Text => {
@@ -37,8 +37,8 @@
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
-    // Lines beyond the channel's room are dropped and counted, so that a slow
-    // reader of the log can't hold requests up.
+    // If the channel is full, lines are dropped and counted, so that a slow reader of the log
+    // can't delay requests.
     let drain = slog_async::Async::new(drain).chan_size(4_096).build();
     Logger::root(LevelFilter::new(drain, level).fuse(), o!())
 }
--- a/src/mastweir/util/metrics.rs
+++ b/src/mastweir/util/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by `cadence`, to a statsd address or nowhere.
+//! Metrics of entries and agents, which are sent to a statsd server if one is set.
 
 use cadence::{Counted, Gauged, NopMetricSink, QueuingMetricSink, StatsdClient, UdpMetricSink};
 use std::{
@@ -8,18 +8,18 @@
 
 const PREFIX: &str = "mastweir";
 
-/// The process's metrics.
+/// A statsd client. Clones share the socket.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Metrics that go to `statsd`, or nowhere.
+    /// Creates a client; `None` discards all metrics.
     ///
     /// # Errors
     ///
-    /// No socket can be opened.
+    /// The socket can't be opened.
     pub fn new(statsd: Option<SocketAddr>) -> eyre::Result<Self> {
         let client = match statsd {
             None => StatsdClient::from_sink(PREFIX, NopMetricSink),
@@ -33,12 +33,12 @@
         Ok(Self { client: Arc::new(client) })
     }
 
-    /// Counts one of `name`.
+    /// Increments a counter.
     pub fn count(&self, name: &str) {
         self.client.count_with_tags(name, 1).send();
     }
 
-    /// Counts one of `name` under a tag.
+    /// Increments a counter with a tag.
     pub fn count_tagged(&self, name: &str, tag: &str, value: &str) {
         self.client.count_with_tags(name, 1).with_tag(tag, value).send();
     }
--- a/src/mastweir/util/prometheus.rs
+++ b/src/mastweir/util/prometheus.rs
@@ -1,10 +1,9 @@
-//! Counters and latency histograms, as text that a scraper reads.
+//! Counters and latency histograms of gateways in the text format of Prometheus.
 
 use std::{cell::RefCell, collections::BTreeMap, fmt::Write, time::Duration};
 
-/// Upper bounds of a histogram's buckets, in seconds. They span from a plain
-/// call's time to the longest deadline of the users' sheets; those about 0.1 tell
-/// pauses of streams that are in time from others.
+/// Upper bounds of the buckets in seconds, from the time of a short call to the longest usual
+/// deadline. The buckets about 0.1 s resolve the pauses of streams.
 const BUCKETS_S: [f64; 14] =
     [0.01, 0.03, 0.06, 0.09, 0.12, 0.15, 0.2, 0.4, 0.8, 1.5, 3.0, 5.0, 8.0, f64::INFINITY];
 
@@ -14,7 +13,7 @@
     sum_s: f64,
 }
 
-/// Named counters and histograms of one thread.
+/// Named counters and histograms, used by one thread.
 #[derive(Debug, Default)]
 pub struct MetricsRegistry {
     counters: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
@@ -22,7 +21,7 @@
 }
 
 impl MetricsRegistry {
-    /// Counts one under a name and a label.
+    /// Increments the counter with a name and a label.
     pub fn count(&self, name: &'static str, label: &'static str) {
         *self.counters.borrow_mut().entry((name, label)).or_default() += 1;
     }
@@ -38,7 +37,7 @@
         }
     }
 
-    /// All of it, in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let mut last = "";
--- a/src/mastweir/util/settings.rs
+++ b/src/mastweir/util/settings.rs
@@ -1,30 +1,32 @@
-//! Settings from flags and environment variables.
+//! Command-line flags and environment variables of all commands.
 //!
-//! Each flag `--some-flag` may be given as `MASTWEIR_SOME_FLAG` instead; a flag
-//! beats its variable. Variables are turned into flags before the command line
-//! is read, so both are checked in the same way and by the same messages.
+//! Each flag `--some-flag` can be set by the variable `MASTWEIR_SOME_FLAG` instead; the flag
+//! takes precedence. Variables are converted to flags before the command line is parsed, so both
+//! are checked in the same way and with the same messages.
 
 use argh::FromArgs;
 use std::{collections::HashMap, env, net::SocketAddr, process, str::FromStr};
 
 const PREFIX: &str = "MASTWEIR_";
-/// Exit code for settings that can't be.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: i32 = 2;
 const EXIT_FAILURE: i32 = 1;
-/// What stands for standard input in an argument that names a file.
+/// Path of standard input, for arguments that name a file.
 pub const STDIN: &str = "/dev/stdin";
-/// What people write for it. `argh` takes it for a flag that it does not know.
+/// The usual short form of [`STDIN`], which `argh` would reject as an unknown flag.
 const STDIN_SHORT: &str = "-";
 
-/// Reads the process's command line and environment; ends it if they are bad.
+/// Parses the command line and the environment. Exits the process if they are invalid or ask
+/// for help.
 pub fn read<T: FromArgs>(name: &str, flags: &[&str]) -> T {
-    let stdin = |word: String| if word == STDIN_SHORT { STDIN.to_owned() } else { word };
-    let words: Vec<String> = env::args().skip(1).map(stdin).collect();
+    let expand_stdin =
+        |argument: String| if argument == STDIN_SHORT { STDIN.to_owned() } else { argument };
+    let arguments: Vec<String> = env::args().skip(1).map(expand_stdin).collect();
     let vars: HashMap<String, String> =
         env::vars().filter(|(name, _)| name.starts_with(PREFIX)).collect();
-    let words = with_variables(words, &vars, flags);
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match T::from_args(&[name], &words) {
+    let arguments = with_variables(arguments, &vars, flags);
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match T::from_args(&[name], &arguments) {
         Ok(args) => args,
         Err(exit) if exit.status.is_ok() => {
             print!("{}", exit.output);
@@ -38,52 +40,52 @@
     }
 }
 
-/// Adds a flag for each variable whose flag is among `flags` and not given.
-/// They go behind the first word, the command: what follows may be a command of
-/// that one, with flags of its own.
+/// Adds each of `flags` whose variable is set and that isn't on the command line. The flags are
+/// inserted after the first argument, which is the command, since a subcommand with its own flags
+/// may follow.
 pub fn with_variables(
-    mut words: Vec<String>,
+    mut arguments: Vec<String>,
     vars: &HashMap<String, String>,
     flags: &[&str],
 ) -> Vec<String> {
     for flag in flags {
         let Some(value) = vars.get(&variable(flag)) else { continue };
         let long = format!("--{flag}");
-        if words.contains(&long) {
+        if arguments.contains(&long) {
             continue;
         }
-        let behind = words.len().min(1);
-        words.splice(behind..behind, [long, value.clone()]);
+        let position = arguments.len().min(1);
+        arguments.splice(position..position, [long, value.clone()]);
     }
-    words
+    arguments
 }
 
-/// Name of the variable that stands for a flag.
+/// Returns the name of the variable that sets a flag.
 pub fn variable(flag: &str) -> String {
     format!("{PREFIX}{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Prints an error with its causes in one line, and gives the exit code.
+/// Prints an error with its causes in one line and returns the exit code.
 pub fn report(name: &str, error: &eyre::Report) -> i32 {
     eprintln!("{name}: {error:#}");
     if error.downcast_ref::<SettingsError>().is_some() { EXIT_SETTINGS } else { EXIT_FAILURE }
 }
 
-/// An address.
+/// Parses the address that a flag names.
 ///
 /// # Errors
 ///
-/// The text is none.
+/// The text is not an IP address with a port.
 pub fn addr(flag: &'static str, text: &str) -> Result<SocketAddr, SettingsError> {
     let remedy = "give an IP number and a port, as in 10.0.0.1:7100";
     text.parse().map_err(|_| SettingsError::new(flag, text, "is no address", remedy))
 }
 
-/// A base address for HTTP.
+/// Checks the base URL that a flag names.
 ///
 /// # Errors
 ///
-/// The text is none.
+/// The text is not an HTTP URL with an IP address and a port.
 pub fn base_url(flag: &'static str, text: &str) -> Result<String, SettingsError> {
     let rest = text.strip_prefix("http://").unwrap_or_default();
     let host = rest.split('/').next().unwrap_or_default();
@@ -94,22 +96,20 @@
     Err(SettingsError::new(flag, text, "is no base address", remedy))
 }
 
-/// A setting that can't be.
+/// A flag or variable with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("reading --{flag}: {value:?} {problem}; {remedy} (or set {})", variable(flag))]
 pub struct SettingsError {
-    /// The flag, without dashes.
+    /// Name without dashes.
     pub flag: &'static str,
-    /// What was given.
     pub value: String,
-    /// What is wrong.
     pub problem: &'static str,
-    /// What to give instead.
+    /// What to enter instead.
     pub remedy: &'static str,
 }
 
 impl SettingsError {
-    /// An error for a flag's value.
+    /// Creates an error for a flag's value.
     pub fn new(
         flag: &'static str,
         value: &str,
