--- a/tests/testsuite/aggregation.rs
+++ b/tests/testsuite/aggregation.rs
@@ -1,4 +1,5 @@
-//! What a head gathers from its section, and what becomes of it when polls overtake it.
+//! Guards against loss of answers in the aggregator of a subtree, also while polls follow each
+//! other faster than a silent rank times out.
 
 use googletest::prelude::*;
 use mastweir::{
@@ -39,43 +40,42 @@
 }
 
 #[googletest::test]
-fn the_sum_is_sent_once_all_have_answered() {
+fn sums_are_returned_once_when_all_ranks_have_answered() {
     let mut aggregator = Aggregator::default();
     expect_that!(aggregator.begin(poll(1), (1..=3).map(ip).collect()).is_none(), eq(true));
     for number in 1..=2 {
         let open = aggregator.add(ip(number), report(number, 1, vec![5, 0, 1]));
-        expect_that!(open.is_ok_and(|whole| whole.is_none()), eq(true));
+        expect_that!(open.is_ok_and(|complete| complete.is_none()), eq(true));
     }
-    let whole = aggregator.add(ip(3), report(3, 1, vec![1, 2, 3])).ok().flatten();
-    let whole = whole.expect("all have answered");
-    expect_that!(whole.sums, eq(&vec![11, 2, 5]));
-    expect_that!(whole.ranks.len(), eq(3));
-    // Nothing is left to be sent later, and what comes late is for the coordinator itself.
+    let complete = aggregator.add(ip(3), report(3, 1, vec![1, 2, 3])).ok().flatten();
+    let complete = complete.expect("all have answered");
+    expect_that!(complete.sums, eq(&vec![11, 2, 5]));
+    expect_that!(complete.ranks.len(), eq(3));
+    // Nothing is left, and late answers are returned.
     expect_that!(aggregator.finish(1).is_none(), eq(true));
     expect_that!(aggregator.add(ip(3), report(3, 1, Vec::new())).is_err(), eq(true));
 }
 
-/// A rank of the section is silent, and polls come sooner than it is given up: what the
-/// others say is heard all the same.
+/// One rank is silent. The answers of the others to each poll must be returned all the same.
 #[googletest::test]
-fn polls_that_overtake_a_silent_rank_lose_nothing_of_the_others() {
+fn answers_survive_a_new_poll_while_a_rank_is_silent() {
     let mut aggregator = Aggregator::default();
-    let mut heard = 0;
+    let mut received = 0;
     for round in 1..=10 {
-        let before = aggregator.begin(poll(round), (1..=3).map(ip).collect());
-        heard += before.map_or(0, |before| before.ranks.len());
+        let previous = aggregator.begin(poll(round), (1..=3).map(ip).collect());
+        received += previous.map_or(0, |previous| previous.ranks.len());
         for number in 1..=2 {
             let open = aggregator.add(ip(number), report(number, round, Vec::new()));
-            expect_that!(open.is_ok_and(|whole| whole.is_none()), eq(true));
+            expect_that!(open.is_ok_and(|complete| complete.is_none()), eq(true));
         }
     }
-    heard += aggregator.finish(10).map_or(0, |rest| rest.ranks.len());
-    expect_that!(heard, eq(20));
+    received += aggregator.finish(10).map_or(0, |rest| rest.ranks.len());
+    expect_that!(received, eq(20));
 }
 
-/// Counts whose place is nowhere take no memory.
+/// Counts of other processes with a huge offset must take no memory.
 #[googletest::test]
-fn foreign_counts_are_bounded() {
+fn counts_beyond_the_maximum_are_ignored() {
     let mut sums = Vec::new();
     add_counts(&mut sums, &Counts { offset: u32::MAX, counts: vec![1; 400], is_last: true });
     expect_that!(sums.len(), eq(0));
--- a/tests/testsuite/messages.rs
+++ b/tests/testsuite/messages.rs
@@ -1,5 +1,5 @@
-//! What processes tell each other fits into a datagram, however large groups and fleets
-//! are, and what goes over connections stays small.
+//! Guards against messages that exceed a datagram in large groups and fleets, and against a
+//! coordinator that exchanges messages with every rank of a large group.
 
 use googletest::prelude::*;
 use mastweir::gateway::message::{
@@ -27,8 +27,8 @@
     SocketAddr::new(ip(number), 18_286)
 }
 
-/// A rank's state, with numbers as large as they get in a month.
-fn brief(number: usize) -> RankStatus {
+/// Status of a rank with numbers as large as after a month.
+fn status(number: usize) -> RankStatus {
     let state = RankState {
         epoch: 1_000,
         rank: number as u32,
@@ -66,7 +66,7 @@
 }
 
 #[googletest::test]
-fn every_datagram_fits_its_link_at_512_ranks() {
+fn datagrams_fit_at_512_ranks() {
     let members: GroupMembers = (0..512)
         .map(|number| {
             (
@@ -89,13 +89,13 @@
     let rank = Message::Rank(RankReport {
         group: group(),
         round: 20_000_000,
-        rank: Some(brief(500)),
+        rank: Some(status(500)),
         counts: counts(10_000, COUNTS_PER_DATAGRAM),
     });
     let states = Message::Subtree(SubtreeReport {
         group: group(),
         round: 20_000_000,
-        ranks: (0..RANKS_PER_DATAGRAM).map(brief).collect(),
+        ranks: (0..RANKS_PER_DATAGRAM).map(status).collect(),
         counts: Counts::default(),
     });
     let sums = Message::Subtree(SubtreeReport {
@@ -104,7 +104,7 @@
         ranks: Vec::new(),
         counts: counts(1_000_000, COUNTS_PER_DATAGRAM),
     });
-    let told = LoadReport {
+    let report = LoadReport {
         running: 20,
         waiting: 300,
         memory_milli: 1_000,
@@ -118,8 +118,8 @@
         limit: Rate::per_second(1e9),
     };
     let load =
-        |at| ServerLoad { server: server(at), age_ms: 9_000, group: Some(3), load: told.clone() };
-    let lead = |at| CoordinatorSeen {
+        |at| ServerLoad { server: server(at), age_ms: 9_000, group: Some(3), load: report.clone() };
+    let coordinator = |at| CoordinatorSeen {
         group: group(),
         token: 900,
         round: 20_000_000,
@@ -131,8 +131,10 @@
         loads: (0..LOADS_PER_DATAGRAM).map(load).collect(),
         coordinators: Vec::new(),
     });
-    let leads =
-        Message::Loads(Loads { coordinators: (0..16).map(lead).collect(), ..Loads::default() });
+    let coordinators = Message::Loads(Loads {
+        coordinators: (0..16).map(coordinator).collect(),
+        ..Loads::default()
+    });
     let named = |at| PeerInfo { ip: ip(at), hall: "region-1-hall-a".to_owned(), power: 16_000 };
     let hello = Message::Hello(Hello {
         hall: "region-1-hall-a".to_owned(),
@@ -159,25 +161,36 @@
             .collect(),
     );
     // All services of a table with four of their servers each.
-    let asked = 28;
-    let borrow = Message::RequestPermits(RequestPermits {
+    let servers = 28;
+    let permit_request = Message::RequestPermits(RequestPermits {
         number: u64::MAX,
-        wanted: (0..asked).map(|at| (id(at), 64)).collect(),
+        wanted: (0..servers).map(|at| (id(at), 64)).collect(),
     });
-    let loan = |at| ServerGrant { server: id(at), count: 0, wait_ms: 4_000 };
-    let lent = Message::GrantPermits(GrantPermits {
+    let grant = |at| ServerGrant { server: id(at), count: 0, wait_ms: 4_000 };
+    let permit_grant = Message::GrantPermits(GrantPermits {
         number: u64::MAX,
-        grants: (0..asked).map(loan).collect(),
+        grants: (0..servers).map(grant).collect(),
     });
-    for message in [&poll, &rank, &states, &sums, &loads, &leads, &hello, &limits, &borrow, &lent] {
+    for message in [
+        &poll,
+        &rank,
+        &states,
+        &sums,
+        &loads,
+        &coordinators,
+        &hello,
+        &limits,
+        &permit_request,
+        &permit_grant,
+    ] {
         expect_that!(size(message), le(DATAGRAM_MAX), "{message:?}");
     }
 }
 
-/// A coordinator sends and hears about as many messages as the square root of its ranks.
+/// The number of a coordinator's messages must grow with the square root of its ranks.
 #[googletest::test]
-fn a_coordinator_speaks_to_few() {
-    let mut spoken_to = Vec::new();
+fn coordinators_reach_large_groups_through_few_aggregators() {
+    let mut sizes = Vec::new();
     for (ranks, halls) in [(2, 2), (12, 3), (32, 3), (96, 5), (512, 7)] {
         let member = |number: usize| {
             let hall = format!("hall-{}", number % halls);
@@ -185,22 +198,22 @@
         };
         let members: GroupMembers = (0..ranks).map(member).collect();
         let parts = subtrees(&members, Uptime::default());
-        let in_all: usize = parts.iter().map(Vec::len).sum();
-        expect_that!(in_all, eq(ranks));
+        let total: usize = parts.iter().map(Vec::len).sum();
+        expect_that!(total, eq(ranks));
         for part in &parts {
             let hall = &members[&part[0]].hall;
             expect_that!(part.iter().all(|addr| members[addr].hall == *hall), eq(true));
         }
         let longest = parts.iter().map(Vec::len).max().unwrap_or(0);
-        spoken_to.push((ranks, parts.len(), longest));
+        sizes.push((ranks, parts.len(), longest));
     }
     let expected = vec![(2, 2, 1), (12, 12, 1), (32, 6, 6), (96, 10, 10), (512, 28, 19)];
-    expect_that!(spoken_to, eq(&expected));
+    expect_that!(sizes, eq(&expected));
 }
 
-/// A head that was not heard, or did not answer, is passed over while another was.
+/// A rank that is silent or failed to answer is not chosen as aggregator while another answers.
 #[googletest::test]
-fn a_silent_rank_heads_no_section() {
+fn silent_ranks_are_not_chosen_as_aggregators() {
     let now = Uptime::from_secs(10);
     let mut members: GroupMembers = (0..32)
         .map(|number| {
@@ -217,24 +230,23 @@
     members.entry(server(1)).and_modify(|member| member.last_seen = None);
     expect_that!(subtrees(&members, now)[0][0], eq(server(2)));
     let later = now + std::time::Duration::from_secs(3);
-    let all_old = subtrees(&members, later);
-    expect_that!(all_old[0][0], eq(server(0)));
+    let all_silent = subtrees(&members, later);
+    expect_that!(all_silent[0][0], eq(server(0)));
 }
 
-/// All of a map of 512 ranks is 40 KB, 1.2 s of a coordinator's link for its 28 sections;
-/// what a plan changes in it is a tenth.
+/// A map change must be sent as a delta: the full map of 512 ranks takes 40 KB per subtree.
 #[googletest::test]
-fn a_map_is_told_by_what_changes() {
-    let whole = vec![vec![vec![190_u16; 3]; 512]; 16];
+fn map_deltas_are_much_smaller_than_full_maps() {
+    let full = vec![vec![vec![190_u16; 3]; 512]; 16];
     let changes = (0..500).map(|at: u16| (at % 16, at, vec![190_u16, 180, 170])).collect();
-    let change = |full, changes| MapDelta {
+    let delta = |full, changes| MapDelta {
         version: (900 << 20) + 2,
         base: (900 << 20) + 1,
         digest: u64::MAX,
         changes,
         full,
     };
-    let bytes = |change: &MapDelta| postcard::to_stdvec(change).map_or(0, |bytes| bytes.len());
-    expect_that!(bytes(&change(Some(whole), Vec::new())), gt(40_000));
-    expect_that!(bytes(&change(None, changes)), lt(6_000));
+    let bytes = |delta: &MapDelta| postcard::to_stdvec(delta).map_or(0, |bytes| bytes.len());
+    expect_that!(bytes(&delta(Some(full), Vec::new())), gt(40_000));
+    expect_that!(bytes(&delta(None, changes)), lt(6_000));
 }
