--- a/crates/mastweir-core/src/experts/layer_planner.rs
+++ b/crates/mastweir-core/src/experts/layer_planner.rs
@@ -2,12 +2,12 @@
 //!
 //! A set is a number of layers that share one placement of their experts. In each set the
 //! ranks wait for the one that works longest, so a plan lowers the skew, the work time of that
-//! rank over the mean, on average over the sets. Transferring an expert's weights to a rank takes
-//! time and slows passes down, and demand changes meanwhile. So a plan is worth the time that
-//! it saves within a horizon, less the cost of its transfers. Where a group has slots for
-//! requests to spare, faster passes help little; `pressure` scales the gain. A slow rank takes
-//! longer for the same work, so its experts are copied to other ranks and then dropped from
-//! the slow one; dropping needs no transfer.
+//! rank over the mean, on average over the sets. Transferring an expert's weights to a rank, as
+//! in [`LayerPlanner::load_s`], takes time and slows passes down, and demand changes meanwhile.
+//! So a plan is worth the time that it saves within a horizon, less the cost of its transfers.
+//! Where a group has slots for requests to spare, faster passes help little; `pressure` scales
+//! the gain. A slow rank takes longer for the same work, so its experts are copied to other
+//! ranks and then dropped from the slow one; dropping needs no transfer.
 //!
 //! The planner takes the best step of any set (a copy of an expert, or dropping one), first
 //! with one transfer per rank, then with larger budgets, and keeps the first steps up to the
--- a/crates/mastweir-core/src/gateway/mod.rs
+++ b/crates/mastweir-core/src/gateway/mod.rs
@@ -1,10 +1,14 @@
 //! Decisions of a gateway that forwards requests to servers.
 //!
+//! A sidecar beside each server reports the server's load to a few gateways of its hall, the
+//! relays, which forward the reports to the other gateways ([`Peers`]).
+//!
 //! A gateway finds the route of a request ([`Config`]), decides whether the service admits a
 //! stream ([`StreamRequest`]), and chooses a server ([`Fleet`]). After an attempt it decides
 //! what the outcome proves and what to do next ([`Proof`], [`next_action`]), and whether a retry
-//! is within the budget ([`RetryWindow`]). Requests under which servers crashed are quarantined
-//! ([`PoisonRequests`]). Event streams are split into complete events ([`EventSplitter`]), so
+//! is within the budget ([`RetryWindow`]). Requests that crash servers are quarantined
+//! ([`PoisonRequests`]). A server that states a rate limit gets only requests with a permit
+//! ([`PermitIssuer`]). Event streams are split into complete events ([`EventSplitter`]), so
 //! that another server can resume them. Data of the platform's store is used only while the
 //! store is known to answer ([`Liveness`]).
 
--- a/crates/mastweir-core/src/gateway/peers.rs
+++ b/crates/mastweir-core/src/gateway/peers.rs
@@ -11,9 +11,10 @@
 //! not answer, and sends hellos to the first ones. A gateway that ranks itself among the first
 //! is a relay. A gateway that is cut off from all others becomes a relay, too.
 //!
-//! Hellos name other gateways. A gateway whose own hello was received counts as alive for a
-//! while. A gateway that was only named gets hellos, but is not named to others; otherwise
-//! dead gateways would be named forever.
+//! A hello states what its sender knows of itself ([`PeerState`]) and names other gateways. A
+//! gateway whose own hello was received counts as alive for a while. A gateway that was only
+//! named gets hellos, but is not named to others; otherwise dead gateways would be named
+//! forever.
 
 use super::{permit_issuer::issuer_of, retry_window::MIN_GATEWAYS};
 use crate::time::Uptime;
--- a/crates/mastweir-core/src/gateway/permit_issuer.rs
+++ b/crates/mastweir-core/src/gateway/permit_issuer.rs
@@ -19,8 +19,8 @@
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 /// Time for which unused permits accumulate. The bucket holds one permit more.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
-/// Lowest rate of permits, even if the limit is lower or zero: a server states the end of a
-/// limit only in answers, so some requests must reach it.
+/// Lowest rate of permits, even if the limit is lower or zero. Some requests must reach the
+/// server, since the end of its limit may be stated only in answers.
 const MIN_PER_S: f64 = 0.05;
 /// Longest wait that is returned, since demand and issuers change.
 const MAX_WAIT: Duration = Duration::from_secs(4);
--- a/crates/mastweir-core/src/lib.rs
+++ b/crates/mastweir-core/src/lib.rs
@@ -14,11 +14,16 @@
 //! - [`gateway`]: how requests are passed through to servers unchanged.
 //! - [`experts`]: planning which rank holds which experts.
 //! - [`switch`]: how all ranks of a group change their expert map at the same step.
-//! - [`table`]: rows that operators edit, merged so that no version reverts.
+//! - [`table`]: rows that operators edit, merged so that no row goes back to an older version.
 //! - [`revision`]: revisions of the platform's store, which may be restored from an older
 //!   copy.
-//! - [`member`]: membership of processes: alive, suspect, leaving or departed.
-//! - [`wire`]: messages between the entry processes and agents.
+//! - [`member`]: membership of entry instances: alive, suspect, leaving or removed.
+//! - [`wire`]: messages between entry instances and agents.
+//!
+//! There are two ways to the servers. Entry instances queue customers' requests by share and
+//! send them to agents, one beside each server. Gateways pass requests through to servers
+//! directly; a sidecar beside each server reports its load to them, and coordinates its group
+//! if it holds the group's lease.
 
 pub mod experts;
 pub mod gateway;
--- a/crates/mastweir-core/src/outcome/attempt.rs
+++ b/crates/mastweir-core/src/outcome/attempt.rs
@@ -8,6 +8,7 @@
 //!
 //! The state decides what a failure proves. A connection that fails to open
 //! proves that no byte was sent; a connection that is lost later proves nothing.
+//! An answer arrives in numbered chunks: the events of a stream, or parts of another body.
 //! Each state is a type of its own and offers only the transitions that are
 //! possible in it. Entry instances use this module through
 //! [`Call`](super::Call).
@@ -26,7 +27,7 @@
 /// The head of the answer was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answering {
-    /// Units of the answer received so far, including those of earlier attempts.
+    /// Chunks of the answer received so far, including those of earlier attempts.
     offset: u64,
 }
 
@@ -62,14 +63,14 @@
         &self.fence
     }
 
-    /// First unit of the answer's body that the attempt requests.
+    /// First chunk of the answer's body that the attempt requests.
     pub const fn from(&self) -> u64 {
         self.from
     }
 }
 
 impl Attempt<Connecting> {
-    /// Creates an attempt that requests the answer from unit `from`.
+    /// Creates an attempt that requests the answer from chunk `from`.
     pub const fn new(number: u32, fence: Fence, from: u64) -> Self {
         Self { number, fence, from, state: Connecting }
     }
@@ -104,8 +105,8 @@
 }
 
 impl Attempt<Answering> {
-    /// Accepts `len` units starting at `at`. Returns false, and ignores them, unless
-    /// they directly follow the units received so far.
+    /// Accepts `len` chunks starting at `at`. Returns false, and ignores them, unless
+    /// they directly follow the chunks received so far.
     pub fn accept(&mut self, at: u64, len: u64) -> bool {
         if at != self.state.offset {
             return false;
@@ -114,7 +115,7 @@
         true
     }
 
-    /// Units of the answer received so far, including those of earlier attempts.
+    /// Chunks of the answer received so far, including those of earlier attempts.
     pub const fn offset(&self) -> u64 {
         self.state.offset
     }
--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -47,9 +47,9 @@
     Refused(Refusal),
     /// The head of the answer was received.
     Head,
-    /// A unit of the answer's body was received.
+    /// A chunk of the answer's body was received: an event of a stream, or a part of another body.
     Chunk {
-        /// Number of the unit, from 0.
+        /// Number of the chunk, from 0.
         at: u64,
     },
     /// The answer is complete.
@@ -66,7 +66,7 @@
 pub enum Action {
     /// Choose a server that was not tried yet, then call [`Call::routed`].
     Route,
-    /// Wait, then connect to the agent and request the answer from unit `from`.
+    /// Wait, then connect to the agent and request the answer from chunk `from`.
     Connect {
         fence: Fence,
         from: u64,
@@ -77,7 +77,7 @@
     Wait,
     /// Forward the head of the answer to the caller.
     ForwardHead,
-    /// Forward the unit to the caller.
+    /// Forward the chunk to the caller.
     ForwardChunk,
     /// Report the outcome to the caller. No action follows.
     Finish {
@@ -169,7 +169,7 @@
         self.attempts
     }
 
-    /// Units of the answer that were forwarded to the caller.
+    /// Chunks of the answer that were forwarded to the caller.
     pub const fn delivered(&self) -> u64 {
         self.delivered
     }
--- a/crates/mastweir-core/src/share/queue.rs
+++ b/crates/mastweir-core/src/share/queue.rs
@@ -251,7 +251,8 @@
     }
 
     /// Returns the customer whose last request is evicted for `newcomer`: the customer whose
-    /// last request has the highest start tag. `None` if the newcomer is to be rejected.
+    /// last request would start at the latest virtual time. `None` if the newcomer is to be
+    /// rejected.
     ///
     /// The start counts, not the end: a single long request does not put its customer
     /// over its share.
--- a/crates/mastweir-core/src/switch/rank.rs
+++ b/crates/mastweir-core/src/switch/rank.rs
@@ -2,8 +2,8 @@
 //!
 //! Keeps the rank's grants ("from step F on, use map M") and its barrier, the first step that it
 //! has promised not to begin without a new grant. Checks a coordinator's orders against them, and
-//! refuses orders that are late, of an unsealed epoch or for another incarnation (start) of the
-//! rank.
+//! refuses orders that are late or for another incarnation (start) of the rank. A coordinator has
+//! to begin its epoch with [`Verb::Seal`].
 
 use super::{MapVersion, Order, RankReply, RankStatus, Step, Verb};
 use crate::id::Incarnation;
--- a/crates/mastweir-core/src/switch/subtrees.rs
+++ b/crates/mastweir-core/src/switch/subtrees.rs
@@ -1,4 +1,4 @@
-//! Divides the ranks of a group into subtrees, through which the coordinator sends polls and orders.
+//! Divides the ranks of a group into subtrees, by which the coordinator sends polls and orders.
 //!
 //! In a small group the coordinator contacts each rank itself. In a larger one of n ranks, those of
 //! each hall are divided into subtrees of at most sqrt(n) ranks, rounded up. One rank of each
--- a/crates/mastweir-core/src/table/mod.rs
+++ b/crates/mastweir-core/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration table: rows that operators edit, replicated to every entry process.
+//! The configuration table: rows that operators edit, replicated to every entry instance.
 //!
 //! One object of the platform's object API is one row. Its version is the API's resource
 //! version, which increases over all rows. A [`Table`] accepts a row only if its version is
--- a/crates/mastweir-core/src/wire.rs
+++ b/crates/mastweir-core/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between entry processes and agents.
+//! Messages between entry instances, and between them and the agents beside servers.
 //!
 //! All are encoded as `postcard`, so the order of fields and variants is part of the
 //! format. Over TCP they are sent as frames in an authenticated channel, which carries one
@@ -44,7 +44,7 @@
     pub expires: Uptime,
     /// Time left for the request, in milliseconds.
     pub deadline_ms: u32,
-    /// Number of the first wanted unit of the response.
+    /// Number of the first wanted chunk of the response, see [`FromAgent::Chunk`].
     pub from: u64,
     pub service: String,
     pub customer: String,
@@ -113,7 +113,7 @@
     pub units: u32,
 }
 
-/// From an entry process to an agent.
+/// From an entry instance to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
     /// Starts an attempt.
@@ -126,7 +126,7 @@
     Rank(RankOrder),
 }
 
-/// From an agent to an entry process.
+/// From an agent to an entry instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromAgent {
     /// The agent did not accept the attempt.
@@ -138,9 +138,9 @@
         /// Value of `content-type`, if any.
         content_type: Option<String>,
     },
-    /// A unit of the response body.
+    /// A chunk of the response body: an event of a stream, or a part of another body.
     Chunk {
-        /// Number of the unit, from 0.
+        /// Number of the chunk, from 0.
         at: u64,
         bytes: Vec<u8>,
     },
@@ -154,7 +154,7 @@
     EngineCrashed(Load),
 }
 
-/// Between entry processes.
+/// Between entry instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerFrame {
     /// Requests the changes that the holder of the digest lacks.
@@ -170,21 +170,21 @@
 /// Content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
-    /// An entry process requests reports from an agent, which sends them for a while.
+    /// An entry instance requests reports from an agent, which sends them for a while.
     Subscribe {
         /// Time between two reports, in milliseconds.
         every_ms: u32,
     },
     /// An agent's report on its load.
     Report(Load),
-    /// State of an entry process, sent to others of its hall.
+    /// State of an entry instance, sent to others of its hall.
     Heartbeat {
         table: Digest,
         /// Increases with each heartbeat of the incarnation.
         beat: u64,
         /// Whether the sender takes no new requests.
         leaving: bool,
-        /// Latest heartbeats of other entry processes that the sender knows.
+        /// Latest heartbeats of other entry instances that the sender knows.
         others: Vec<Heartbeat>,
     },
     /// Service that customers received, for fleet-wide shares.
