--- a/src/mastweir/agent/answer.rs
+++ b/src/mastweir/agent/answer.rs
@@ -104,18 +104,18 @@
         self.notify();
     }
 
-    /// Asks the writer to stop.
+    /// Cancels the answer, so that the writer stops.
     pub fn cancel(&self) {
         self.lock().cancelled = true;
         self.notify();
     }
 
-    /// Returns whether the writer was asked to stop.
+    /// Returns whether the answer was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.lock().cancelled
     }
 
-    /// Waits until the writer is asked to stop.
+    /// Waits until the answer is cancelled.
     pub async fn cancelled(&self) {
         let mut changes = self.changed.subscribe();
         while !self.is_cancelled() {
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -1,6 +1,6 @@
 //! Exchange of customers' usage between entries, for fair shares across the fleet.
 //!
-//! Once a period, each entry sends the units that its customers asked for up a tree of entries.
+//! Once a period, each entry sends the units that its customers requested up a tree of entries.
 //! The leaders of the halls add up their halls' usage, exchange the sums, and send the fleet-wide
 //! total back down. [`AdmissionControl`] compares the total with the customers' weights and
 //! rejects requests of customers over their fair share while the servers are full. The period
@@ -73,9 +73,9 @@
 /// State of the exchange at this entry.
 #[derive(Debug, Default)]
 pub struct UsageExchange {
-    /// Units that customers asked for here in the current period.
+    /// Units that customers requested here in the current period.
     offered: HashMap<CustomerTag, u64>,
-    /// Units per second that customers ask for here, smoothed.
+    /// Units per second that customers request here, smoothed.
     own_rates: HashMap<CustomerTag, f64>,
     /// Usage of this entry and its children in the tree, to be sent to the parent.
     pending: PendingUsage,
