--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -23,9 +23,9 @@
     /// Path and query.
     pub uri: Uri,
     pub body: Bytes,
-    /// The configuration under which it was admitted.
+    /// The configuration under which the request was admitted.
     pub active: Rc<ActiveConfig>,
-    /// Index of its route in the configuration.
+    /// Index of the route in the configuration.
     pub route_index: usize,
     pub service: String,
     /// The customer whose key the request carries.
@@ -36,7 +36,7 @@
     pub clock: Clock,
     /// Random number from 0 to 1 that decides about admission while servers are overloaded.
     pub draw: f64,
-    /// Whether this looks like a retry after a refusal.
+    /// Whether the request looks like a retry after a refusal.
     pub is_retry: bool,
     /// Computed on first use.
     pub fingerprint: OnceCell<Fingerprint>,
--- a/src/mastweir/gateway/final_answer.rs
+++ b/src/mastweir/gateway/final_answer.rs
@@ -94,10 +94,10 @@
     next: NextAction,
     retry_after: Duration,
 ) -> Reply {
-    let late = call.time_left().is_zero();
+    let is_late = call.time_left().is_zero();
     let (status, retry_after) = match next {
         NextAction::EndNotRun => (StatusCode::SERVICE_UNAVAILABLE, Some(retry_after)),
-        _ if late => (StatusCode::GATEWAY_TIMEOUT, None),
+        _ if is_late => (StatusCode::GATEWAY_TIMEOUT, None),
         _ => (StatusCode::BAD_GATEWAY, None),
     };
     log_outcome(gateway, call, progress, "ended", status);
@@ -134,7 +134,7 @@
     info!(gateway.log, "request"; "id" => &call.head.id, "route" => &call.route().name,
         "outcome" => outcome, "status" => status.as_u16(), "took_ms" => took.as_millis() as u64,
         "late" => if took.as_millis() > u128::from(call.route().objective_ms) { "yes" } else { "no" },
-        "waited_ms" => progress.send_delay.map(|waited| waited.as_millis() as u64),
+        "waited_ms" => progress.send_delay.map(|delay| delay.as_millis() as u64),
         "sends" => progress.tried.len(), "server" => progress.tried.last(),
         "config" => call.active.config.version);
 }
--- a/src/mastweir/gateway/limit_gossip.rs
+++ b/src/mastweir/gateway/limit_gossip.rs
@@ -56,7 +56,7 @@
 }
 
 fn send(gateway: &Gateway, socket: &UdpSocket, to: &[IpAddr], updates: &[LimitUpdate]) {
-    // Encoding to a vector fails for no message of this kind.
+    // Serializing these messages to a vector can't fail.
     let message =
         |chunk: &[LimitUpdate]| postcard::to_stdvec(&Message::Limits(chunk.to_vec())).ok();
     let messages: Vec<Vec<u8>> = updates.chunks(LIMITS_PER_DATAGRAM).filter_map(message).collect();
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -55,12 +55,12 @@
         let settings = gateway.settings.borrow();
         (settings.ip, settings.internal_port)
     };
-    let callers = bind(options.caller_addr).await?;
-    let ready = bind(options.ready_addr).await?;
-    let own = SocketAddr::new(ip, port);
-    let internal = bind(own).await?;
-    let socket = UdpSocket::bind(own).await.wrap_err_with(|| format!("binding {own}"))?;
-    info!(gateway.log, "gateway started"; "callers" => %options.caller_addr, "internal" => %own);
+    let caller_listener = bind(options.caller_addr).await?;
+    let ready_listener = bind(options.ready_addr).await?;
+    let own_addr = SocketAddr::new(ip, port);
+    let internal_listener = bind(own_addr).await?;
+    let socket = UdpSocket::bind(own_addr).await.wrap_err_with(|| format!("binding {own_addr}"))?;
+    info!(gateway.log, "gateway started"; "callers" => %options.caller_addr, "internal" => %own_addr);
     let (closing, closed) = flag::channel(false);
     let counting = gateway.clone();
     task::spawn_local(generations::watch(gateway.store.clone(), gateway.log.clone(), move || {
@@ -71,17 +71,17 @@
     task::spawn_local(watch::quarantine(gateway.clone()));
     task::spawn_local(peers::run(gateway.clone(), socket));
     task::spawn_local(sweep(gateway.clone()));
-    task::spawn_local(serve_ready(gateway.clone(), ready));
+    task::spawn_local(serve_ready(gateway.clone(), ready_listener));
     if let Some(port) = options.metrics_port {
         let listener = bind(SocketAddr::new(ip, port)).await?;
         task::spawn_local(serve_metrics(gateway.clone(), listener));
     }
     let answering = gateway.clone();
-    task::spawn_local(internal::serve(internal, move |path, body| {
+    task::spawn_local(internal::serve(internal_listener, move |path, body| {
         let reply = fetch::answer(&answering, &path, &body);
         async move { reply }
     }));
-    task::spawn_local(accept(gateway.clone(), callers, closed));
+    task::spawn_local(accept(gateway.clone(), caller_listener, closed));
     stop.await;
     let grace = gateway.settings.borrow().bounds.grace;
     let deadline = time::Instant::now() + grace.saturating_sub(STOP_MARGIN);
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -249,17 +249,17 @@
     /// Counts a request of a service towards its retry budget.
     pub fn count_request(&self, service: &str) {
         let now = self.clock.now();
-        self.window(service, |window| window.record_request(now));
+        self.with_window(service, |window| window.record_request(now));
     }
 
     /// Takes a retry from the budget of a service. Returns whether one was left.
     pub fn take_retry(&self, service: &str) -> bool {
         let now = self.clock.now();
         let others = self.gateways.borrow().max_known() as usize - 1;
-        self.window(service, |window| window.try_take(now, others))
+        self.with_window(service, |window| window.try_take(now, others))
     }
 
-    fn window<T>(&self, service: &str, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
+    fn with_window<T>(&self, service: &str, act: impl FnOnce(&mut RetryWindow) -> T) -> T {
         let mut retries = self.retries.borrow_mut();
         if let Some(window) = retries.get_mut(service) {
             return act(window);
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -27,7 +27,7 @@
 
 /// The body of a streamed answer.
 pub type StreamReply =
-    StreamBody<Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, StreamInterrupted>>>>>;
+    StreamBody<Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, StreamIncomplete>>>>>;
 
 /// An answer to a caller.
 pub type Reply = Response<Either<Full<Bytes>, StreamReply>>;
@@ -45,8 +45,8 @@
 
 /// A stream that can't be finished. Ends the caller's connection before the end of the body.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("stream interrupted; send the request again with the id of the last event")]
-pub struct StreamInterrupted;
+#[error("stream incomplete; send the request again with the id of the last event")]
+pub struct StreamIncomplete;
 
 struct Upstream {
     body: Incoming,
@@ -72,7 +72,7 @@
 enum Chunk {
     Events(Bytes),
     End,
-    Interrupted,
+    Incomplete,
 }
 
 /// Returns the answer to the caller for a stream whose head was read.
@@ -103,7 +103,7 @@
         match forwarder.next().await {
             Chunk::Events(bytes) => Some((Ok(Frame::data(bytes)), Some(forwarder))),
             Chunk::End => None,
-            Chunk::Interrupted => Some((Err(StreamInterrupted), None)),
+            Chunk::Incomplete => Some((Err(StreamIncomplete), None)),
         }
     });
     let chunks: Pin<Box<dyn Stream<Item = _>>> = Box::pin(chunks);
@@ -126,7 +126,7 @@
     /// Returns the next whole events or the end of the stream, after failovers where needed.
     async fn next(&mut self) -> Chunk {
         loop {
-            let Some(upstream) = &mut self.upstream else { return Chunk::Interrupted };
+            let Some(upstream) = &mut self.upstream else { return Chunk::Incomplete };
             let frame = tokio::select! {
                 frame = self.call.clock.timeout_at(self.call.deadline, upstream.body.frame()) => frame,
                 reason = wait_until_stuck(&self.gateway, &self.call, &upstream.slot, true) => {
@@ -186,7 +186,7 @@
         let slowest = self.slowest_report.as_ref();
         info!(self.gateway.log, "stream timing"; "id" => &self.call.head.id, "late" => late,
             "end" => end, "route" => &route.name,
-            "waited_ms" => self.progress.send_delay.map(|waited| waited.as_millis() as u64),
+            "waited_ms" => self.progress.send_delay.map(|delay| delay.as_millis() as u64),
             "first_ms" => first.map(|first| first.as_millis() as u64),
             "pause_ms" => self.timing.longest_gap().as_millis() as u64,
             "pause_at_ms" => self.timing.longest_gap_end().as_millis() as u64,
@@ -198,7 +198,7 @@
     }
 
     fn finish(&mut self) -> Chunk {
-        let Some(upstream) = self.upstream.take() else { return Chunk::Interrupted };
+        let Some(upstream) = self.upstream.take() else { return Chunk::Incomplete };
         self.gateway.server_pool.release(upstream.connection, upstream.keep_alive);
         let took = self.call.age();
         self.call.record_completed(&self.gateway);
@@ -217,7 +217,7 @@
         info!(self.gateway.log, "stream cut"; "id" => &self.call.head.id, "reason" => reason,
             "last_event" => self.events.last_id(), "tried" => self.progress.tried.join(","),
             "took_ms" => self.call.age().as_millis() as u64);
-        Chunk::Interrupted
+        Chunk::Incomplete
     }
 
     /// Leaves a server whose stream broke or stalled, and resumes the stream at another one.
@@ -236,8 +236,7 @@
         self.resume().await
     }
 
-    /// Continues the stream at another server after the last whole event. Returns whether one
-    /// was found that does so.
+    /// Continues the stream at another server after the last whole event.     /// was found that does so.
     async fn resume(&mut self) -> bool {
         self.events.discard_partial();
         if !self.call.route().resumable {
