--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -20,7 +20,8 @@
 /// Most quarantines that a starting gateway gets: some 80 bytes each.
 const QUARANTINES_MAX: usize = 4_096;
 
-/// Fetches the configuration and the servers from a gateway if its versions are newer.
+/// Fetches the configuration and the servers from a gateway if its versions are newer, and its
+/// quarantines if this gateway has none yet.
 pub async fn fetch(gateway: Rc<Gateway>, from: IpAddr) {
     let addr = gateway.internal_addr(from);
     if !gateway.has_quarantines.get() {
--- a/src/mastweir/gateway/peers.rs
+++ b/src/mastweir/gateway/peers.rs
@@ -130,11 +130,11 @@
 
 async fn send_hellos(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut round = 0_u32;
-    let mut heard = 0;
+    let mut known = 0;
     loop {
         let now = gateway.clock.now();
         update_roles(&gateway);
-        log_new_peers(&gateway, &mut heard);
+        log_new_peers(&gateway, &mut known);
         let seeds = gateway.settings.borrow().seeds.clone();
         let targets = gateway.gateways.borrow_mut().hello_targets(round, &seeds, now);
         if let Ok(bytes) = postcard::to_stdvec(&Message::Hello(own_hello(&gateway))) {
@@ -179,9 +179,9 @@
 fn log_new_peers(gateway: &Gateway, before: &mut u32) {
     let now = gateway.clock.now();
     let gateways = gateway.gateways.borrow();
-    let heard = gateways.hall_size(now);
-    if heard > *before {
-        info!(gateway.log, "gateways found"; "in_hall" => heard, "in_all" => gateways.max_known());
+    let known = gateways.hall_size(now);
+    if known > *before {
+        info!(gateway.log, "gateways found"; "in_hall" => known, "in_all" => gateways.max_known());
     }
-    *before = heard;
+    *before = known;
 }
