--- a/src/mastweir/objects/liveness.rs
+++ b/src/mastweir/objects/liveness.rs
@@ -8,7 +8,7 @@
 use tokio::time;
 
 /// Returns when watches opened before this call must be restarted, as the API answers again
-/// after an outage. Probes the API about interval `interval`.
+/// after an outage. Probes the API about once per `interval`.
 pub async fn wait_for_outage(
     platform: &ObjectClient,
     collection: Collection,
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -161,9 +161,7 @@
 pub struct EngineState {
     /// 0 if the server names none.
     pub incarnation: u64,
-    /// Running requests.
     pub running: u32,
-    /// Queued requests.
     pub waiting: u32,
     /// Used part of the KV cache, in thousandths.
     pub memory_milli: u32,
@@ -174,7 +172,6 @@
     /// `None` if the server is in no group, or the reported rank or size is out of range.
     pub rank: Option<RankState>,
     pub leaving: bool,
-    /// The server's rate limit.
     pub limit: LimitHeader,
 }
 
@@ -183,7 +180,6 @@
 pub struct Selections {
     /// Incarnation of the server; 0 if the server names none.
     pub incarnation: u64,
-    /// Epoch of the group.
     pub epoch: u64,
     /// Last pass that began.
     pub pass: u64,
--- a/src/mastweir/platform/headers.rs
+++ b/src/mastweir/platform/headers.rs
@@ -190,7 +190,6 @@
     pub leaving: bool,
     /// Time for which a server that refused the request wants no others from this process.
     pub retry_after: Option<Duration>,
-    /// The server's rate limit.
     pub limit: LimitHeader,
 }
 
--- a/src/mastweir/platform/settings.rs
+++ b/src/mastweir/platform/settings.rs
@@ -25,6 +25,7 @@
     seeds: Vec<SocketAddr>,
     #[serde(default)]
     listen: ListenTable,
+    /// The model server next to a sidecar.
     app: Option<SocketAddr>,
     #[serde(default = "default_heartbeat_ms")]
     heartbeat_ms: u64,
@@ -36,6 +37,7 @@
 
 #[derive(Debug, Default, Deserialize)]
 struct LimitsTable {
+    /// Number of CPU cores that the process may use; 0 if unknown.
     #[serde(default)]
     cpu_share: f64,
 }
@@ -47,7 +49,9 @@
 
 #[derive(Debug, Default, Deserialize)]
 struct ListenTable {
+    /// For callers.
     front: Option<SocketAddr>,
+    /// For readiness checks.
     ready: Option<SocketAddr>,
 }
 
