--- a/tests/testsuite/incarnations.rs
+++ b/tests/testsuite/incarnations.rs
@@ -117,9 +117,9 @@
 }
 
 fn poll(round: u64, since: u64) -> Poll {
-    let lead = IpAddr::from([10, 0, 0, 9]);
-    let (group, section) = ("g".to_owned(), Vec::new());
-    Poll { group, token: 1, coordinator: lead, round, since, sets: Some((0, 1)), subtree: section }
+    let coordinator = IpAddr::from([10, 0, 0, 9]);
+    let (group, subtree) = ("g".to_owned(), Vec::new());
+    Poll { group, token: 1, coordinator, round, since, sets: Some((0, 1)), subtree }
 }
 
 #[googletest::test]
@@ -147,21 +147,21 @@
 fn loads_of_the_previous_incarnation_are_not_awaited() {
     let at = Uptime::from_secs(5);
     let mut ranks = RankViews::new(Uptime::default());
-    let brief = |born, read_at| RankStatus {
+    let status = |incarnation, read_at| RankStatus {
         server: ([10, 0, 0, 1], 80).into(),
         state: RankState { epoch: 2, size: 1, open: true, ..RankState::default() },
         load: 0,
         slowdown_milli: 1_000,
-        incarnation: born,
+        incarnation,
         read_at,
     };
     let is_busy = |ranks: &RankViews| {
         ranks.states(Some(7), at).first().cloned().flatten().is_some_and(|state| state.busy)
     };
-    ranks.record_answer(brief(FIRST, at), at);
+    ranks.record_answer(status(FIRST, at), at);
     ranks.record_load(0, 7, 2, at);
     expect_that!(is_busy(&ranks), eq(true));
-    ranks.record_answer(brief(SECOND, at), at);
+    ranks.record_answer(status(SECOND, at), at);
     expect_that!(is_busy(&ranks), eq(false));
 }
 
