--- a/src/mastweir/sidecar/aggregation.rs
+++ b/src/mastweir/sidecar/aggregation.rs
@@ -2,8 +2,8 @@
 //! the answers of the subtree that it aggregates.
 //!
 //! A rank answers with the selections since an earlier poll ([`SelectionHistory`]). An aggregator
-//! collects such answers of its subtree, and sends their sum when all ranks have answered, on a timeout, or
-//! when the next poll begins ([`Aggregator`]).
+//! collects such answers of its subtree, and sends their sum when all ranks have answered, on a
+//! timeout, or when the next poll begins ([`Aggregator`]).
 
 use crate::{
     gateway::message::{Counts, Poll, RankReport, RankStatus},
