--- a/src/mastweir/agent/answer.rs
+++ b/src/mastweir/agent/answer.rs
@@ -1,9 +1,9 @@
 //! Buffer of an answer, with one writer and any number of readers.
 //!
-//! The call to the engine writes the answer in chunks. The channel that submitted the request reads
-//! it. Other channels can join the answer of an at-most-once operation and read it from any chunk,
-//! so such an answer is kept completely, up to a limit. The chunks of other answers are dropped
-//! once read, and a slow reader delays the writer.
+//! The call to the engine writes the answer in chunks, and the channel that submitted the request
+//! reads them. The answer of an at-most-once operation can be joined: other channels that submit the
+//! same operation read the answer from any chunk, so all chunks are kept, up to a limit. The chunks
+//! of other answers are dropped once read, and a slow reader delays the writer.
 
 use bytes::Bytes;
 use mastweir_core::{outcome::Refusal, wire::RequestCost};
@@ -27,7 +27,7 @@
     Refused(Refusal),
 }
 
-/// Next part of an answer for a reader.
+/// Part of an answer, as a reader gets it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     /// HTTP status and content type.
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Answer {
     state: Mutex<State>,
-    /// Number of changes, which wakes the readers and the writer.
+    /// Count of changes. Each update wakes the readers and the writer.
     changed: watch::Sender<u64>,
     is_joinable: bool,
 }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Ends the answer. Later calls have no effect.
+    /// Ends the answer. Only the first call has an effect.
     pub fn end(&self, end: AnswerEnd) {
         self.lock().end.get_or_insert(end);
         self.notify();
@@ -130,7 +130,8 @@
         self.lock().size
     }
 
-    /// Returns the number of the next chunk to be written.
+    /// Returns the number of the answer's chunks so far, including chunks that another server sent
+    /// before this answer began.
     pub fn chunk_count(&self) -> u64 {
         let state = self.lock();
         state.first + state.chunks.len() as u64
@@ -190,7 +191,7 @@
         Some(Item::Chunk(at, bytes))
     }
 
-    /// Drops the chunks that the only reader has read, and wakes the writer.
+    /// Drops the first `count` chunks of an answer that can't be joined, and wakes the writer.
     fn drop_read(&self, state: &mut State, count: usize) {
         let read: usize = state.chunks.drain(..count).map(|bytes| bytes.len()).sum();
         state.first += count as u64;
--- a/src/mastweir/agent/engine.rs
+++ b/src/mastweir/agent/engine.rs
@@ -17,7 +17,8 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Probes of an engine that broke off an answer, and the time before and for each of them.
+/// Number of probes of an engine that broke off an answer, and the delay before each probe and
+/// its timeout.
 const CRASH_PROBES: u32 = 2;
 const CRASH_PROBE_TIME: Duration = Duration::from_millis(50);
 /// Time for the engine to carry out a rank order.
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -1,6 +1,6 @@
 //! The queued and running requests of an agent.
 //!
-//! The queue and the deduplication table are behind one lock, as they change together. The lock is
+//! The queue and the deduplication table share one lock, as they change together. The lock is
 //! never held across an `await`.
 
 use super::{
@@ -23,15 +23,15 @@
 
 /// Weight of the latest request in the smoothed rate of a slot.
 const RATE_SMOOTHING: f64 = 0.1;
-/// Minimum limit of the queue's backlog, in units.
+/// Lower bound of the queue's backlog limit, in service units.
 const BACKLOG_MIN: u32 = 1_000;
-/// Assumed rate of a slot before the first answer, in units per second.
+/// Assumed rate of a slot before the first answer, in service units per second.
 const INITIAL_RATE: f64 = 100.0;
 
 /// A request at the agent.
 #[derive(Debug)]
 pub struct Job {
-    /// The frame that submitted the request.
+    /// Frame that submitted the request.
     pub start: Start,
     pub body: Vec<u8>,
     pub answer: Arc<Answer>,
@@ -45,11 +45,11 @@
     dedup: DedupTable<Arc<Answer>>,
     running: u16,
     leaving: bool,
-    /// End of the backoff that the engine requested; in the past if there is none.
+    /// End of the backoff that the engine requested; in the past if no backoff applies.
     backoff_until: Uptime,
-    /// Units per second of a slot, smoothed.
+    /// Service units per second of a slot, smoothed.
     slot_rate: f64,
-    /// Mean remaining units of a running request: half of the mean cost, smoothed.
+    /// Service units that a running request has left on average: half of the smoothed mean cost.
     mean_remaining: f64,
     engine_report: EngineReport,
 }
@@ -145,8 +145,8 @@
         state.running -= 1;
         let actual = match end {
             AnswerEnd::Complete(cost) => cost.units,
-            // Charges the chunks that were generated here. Another server may have generated
-            // those before `from`, and has charged them.
+            // Charges one model token for each chunk that was generated here. Chunks before `from`
+            // were generated and charged at another server.
             AnswerEnd::Broken | AnswerEnd::EngineCrashed => {
                 job.start.units(job.answer.chunk_count().saturating_sub(job.start.from))
             }
@@ -165,7 +165,7 @@
         finish(&mut state, job, end);
     }
 
-    /// Withdraws a request whose entry has cancelled it (`cancel`) or has disconnected. A running
+    /// Withdraws a request that the entry has cancelled (`cancel`), or whose entry has disconnected. A running
     /// at-most-once operation continues after a disconnect, so that a later submission gets its
     /// answer.
     pub fn abandon(&self, job: &Job, cancel: bool) {
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Refuses queued requests, and new ones for a time, as the engine requested. Entries then
-    /// send them to other servers.
+    /// Refuses queued requests, and new requests until `wait` has passed, as the engine requested.
+    /// Entries then send the requests to other servers.
     pub fn back_off(&self, wait: Duration) {
         let mut state = self.lock();
         state.backoff_until = state.backoff_until.max(self.context.clock.now() + wait);
@@ -280,13 +280,13 @@
     }
 }
 
-/// Returns what the deduplication table needs of a request.
+/// Returns the parts of a start frame by which the deduplication table admits an operation.
 fn dedup_order(start: &Start) -> Order {
     Order { op: start.op, incarnation: start.fence.incarnation, expires: start.expires }
 }
 
-/// Records an end in the deduplication table and then in the answer, whose readers may submit the
-/// operation again at once.
+/// Records an end in the deduplication table, and then in the answer. In this order, a resubmission
+/// by a reader that sees the end finds it in the table.
 fn finish(state: &mut State, job: &Job, end: AnswerEnd) {
     if !job.start.repeatable {
         record_outcome(&mut state.dedup, job.start.op, end, job.answer.size());
--- a/src/mastweir/agent/reports.rs
+++ b/src/mastweir/agent/reports.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time;
 
-/// Duration of a subscription in its report intervals, and the minimum.
+/// Report intervals after which a subscription expires, and the minimum time.
 const TERM_INTERVALS: u32 = 4;
 const TERM_MIN: Duration = Duration::from_secs(12);
 const CHECK_PERIOD: Duration = Duration::from_millis(100);
--- a/src/mastweir/agent/serve.rs
+++ b/src/mastweir/agent/serve.rs
@@ -1,7 +1,8 @@
 //! Serves the channels of entries: receives requests and rank orders, and sends answers.
 //!
-//! A channel carries one exchange at a time: a request with its answer, or a rank order with its
-//! reply.
+//! A rank order is an order of the group's coordinator to one of its ranks, and is forwarded to the
+//! engine. A channel carries one exchange at a time: a request with its answer, or a rank order with
+//! its reply.
 
 use super::{
     Shared,
@@ -29,7 +30,7 @@
     let permits = Arc::new(Semaphore::new(CHANNELS_MAX));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // For example out of file descriptors, which closing connections return.
+            // The process may be out of file descriptors until other connections close.
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -69,7 +70,7 @@
             let reply = epoch_fence::forward_order(shared, &order).await;
             channel.sender.send(&FromAgent::Rank(reply)).await
         }
-        // The cancellation was sent before the end of the answer arrived.
+        // The entry cancelled before it received the end of the answer.
         ToAgent::Cancel => Ok(()),
         ToAgent::Body(_) => Err(ChannelError::Closed),
     }
--- a/src/mastweir/entry/admit.rs
+++ b/src/mastweir/entry/admit.rs
@@ -17,7 +17,7 @@
 /// Seconds after which a customer over its fair share may retry.
 const OVER_SHARE_RETRY_S: u32 = 2;
 
-/// Use of its limits by a customer at this entry.
+/// What a customer currently uses of its limits at this entry.
 #[derive(Debug)]
 struct CustomerUsage {
     inflight: u32,
@@ -26,18 +26,18 @@
     bucket: TokenBucket,
 }
 
-/// Use of limits by customer name.
+/// Usage of the customers by name.
 #[derive(Debug, Default)]
 pub struct Limits {
     customers: HashMap<String, CustomerUsage>,
 }
 
-/// An admitted request. Dropping the guard releases what the request holds of the limits.
+/// An admitted request. Dropping the guard no longer counts the request towards the limits.
 #[derive(Debug)]
 pub struct AdmissionGuard {
     shared: Arc<Shared>,
     customer: String,
-    /// Estimated cost in units, which was charged on admission.
+    /// Estimated cost in service units, which was charged on admission.
     estimate: u32,
     is_waiting: bool,
     /// Whether the estimate was replaced by the actual cost.
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Replaces the estimated cost by the actual cost in units.
+    /// Replaces the estimated cost by the actual cost in service units.
     pub fn settle(&mut self, units: u32) {
         self.is_settled = true;
         lock(&self.shared.usage).record_cost(&self.customer, self.estimate, units);
--- a/src/mastweir/entry/calls.rs
+++ b/src/mastweir/entry/calls.rs
@@ -58,7 +58,7 @@
     channel: Option<AttemptChannel>,
     /// Servers of the attempts so far, in order.
     tried: Vec<String>,
-    /// Taken when the handler gets its reply.
+    /// `None` once the handler has its reply.
     reply: Option<oneshot::Sender<Reply>>,
     /// Set once the answer is streamed to the caller.
     stream: Option<mpsc::Sender<Bytes>>,
@@ -98,7 +98,7 @@
 
 impl Driver {
     async fn run(&mut self) {
-        // An earlier submission, here or at another entry, may have crashed servers.
+        // Servers may have crashed under an earlier submission, here or at another entry.
         if self.is_quarantined() {
             return self.reject(ProblemKind::Quarantined).await;
         }
@@ -116,8 +116,8 @@
         let Some(existing) = existing.filter(|_| result.0 == Outcome::NotRun) else {
             return self.report_outcome(result).await;
         };
-        // The agents bound by an earlier submission have all refused the operation, and each
-        // refusal is final. The operation may run at other agents.
+        // The operation was bound to agents by an earlier submission. All of them have refused
+        // the operation, and each refusal is final, so other agents may run it.
         match keys::rebind(&self.shared, &self.request, &existing).await {
             Ok(bound) => {
                 let result = self.run_at_most_once(bound).await;
@@ -157,7 +157,7 @@
                 Action::ForwardChunk => self.forward_chunk(&mut call).await,
                 Action::Finish { outcome, evidence, cancel } => {
                     if outcome == Outcome::Unknown {
-                        // Charges the prompt and the tokens delivered.
+                        // Charges the prompt, and one model token for each chunk delivered.
                         let cost = self.request.service.cost;
                         let decoded = cost.units(0, call.delivered());
                         self.admission.settle(self.request.prefill.saturating_add(decoded));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Returns whether the request has crashed servers and must not be sent to another one.
+    /// Returns whether the request is quarantined because servers crashed while they ran it.
     fn is_quarantined(&self) -> bool {
         let now = self.shared.context.clock.now();
         let mut poison_requests = lock(&self.shared.poison_requests);
@@ -247,7 +247,7 @@
         let limit = if resumable { remaining.min(STALL_TIMEOUT) } else { remaining };
         let next = clock.timeout_at(clock.now() + limit, channel.next(&self.shared));
         let Ok(received) = next.await else {
-            return self.on_silence(call, limit < remaining).await;
+            return self.on_timeout(call, limit < remaining).await;
         };
         self.on_received(call, received)
     }
@@ -283,7 +283,7 @@
         self.handle(call, received.event)
     }
 
-    async fn on_silence(&mut self, call: &mut Call, stalled: bool) -> Action {
+    async fn on_timeout(&mut self, call: &mut Call, stalled: bool) -> Action {
         if !stalled {
             return self.handle(call, Event::Deadline);
         }
--- a/src/mastweir/entry/fleet.rs
+++ b/src/mastweir/entry/fleet.rs
@@ -12,12 +12,12 @@
 use tokio::time;
 
 const HEARTBEAT_PERIOD: Duration = Duration::from_secs(1);
-/// Bytes per second that reports may use, and the bytes of one report, with headers and its part
-/// of the subscription.
+/// Bytes per second that load reports to this entry may use.
 const REPORT_BUDGET: u64 = 1_800;
+/// Assumed bytes of a load report, including headers and a share of the subscription's datagram.
 const REPORT_LEN: u64 = 140;
-/// Period of the liveness probes during a watch of the instance list. A watch may end unnoticed
-/// in a shorter outage; heartbeats then still report which entries are leaving.
+/// Period of the liveness probes during a watch of the instance list. A shorter outage may end the
+/// watch unnoticed; heartbeats then still report which entries are leaving.
 const PROBE_EVERY: Duration = Duration::from_secs(5);
 /// Minimum time between reports of an agent.
 const REPORT_PERIOD_MIN: Duration = Duration::from_millis(500);
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -26,8 +26,9 @@
 
 const LEASE_TERM: Duration = Duration::from_secs(8);
 const RENEW_PERIOD: Duration = Duration::from_millis(2_500);
-/// Time between rounds of orders during a map change, and otherwise.
+/// Time between rounds of orders during a map change or sealing.
 const CHANGE_PERIOD: Duration = Duration::from_millis(5);
+/// Time between rounds of orders otherwise.
 const STEADY_PERIOD: Duration = Duration::from_millis(250);
 /// Time between scans for groups to coordinate.
 const SCAN_PERIOD: Duration = Duration::from_secs(1);
@@ -117,7 +118,7 @@
     /// `None` while the lease is not held.
     coordinator: Option<(Coordinator, RankAddrs)>,
     change_start: Option<Uptime>,
-    /// Last report of each server on its ranks' incarnations.
+    /// Last reported `rank_incarnations` by server.
     incarnations: BTreeMap<String, u64>,
     counts: ChangeCounts,
 }
@@ -164,7 +165,7 @@
         match written {
             Ok(_) => self.lease.mark_written(&record, sent),
             Err(ObjectError::Conflict(_) | ObjectError::Exists(_)) => self.lease.mark_lost(),
-            // The write may have been applied. The next renewal reads the record and sees.
+            // The write may have been applied; the next renewal reads the record.
             Err(error) => return Err(error),
         }
         Ok(())
--- a/src/mastweir/entry/keys.rs
+++ b/src/mastweir/entry/keys.rs
@@ -85,8 +85,8 @@
     Ok(ticket.to_text(&shared.context.secret.derive_key(TICKET_PURPOSE)))
 }
 
-/// Replaces the stored bindings of a key after all of its agents have refused the operation for
-/// good. If several entries try, the object API accepts one of the updates, and the others use
+/// Replaces the stored bindings of a key after all of its agents have finally refused the
+/// operation. If several entries try, the object API accepts one of the updates, and the others use
 /// its bindings.
 ///
 /// # Errors
@@ -193,7 +193,6 @@
 }
 
 fn random_op() -> OpId {
-    // Not from the entry's own generator, which would repeat ids after a restart if it has a
-    // seed.
+    // The entry's own generator may be seeded, and would then repeat ids after a restart.
     OpId(rand::rng().random())
 }
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -1,7 +1,7 @@
 //! Exchange of customers' usage between entries, for fair shares across the fleet.
 //!
-//! Once a period, each entry sends the units that its customers requested up a tree of entries.
-//! The leaders of the halls add up their halls' usage, exchange the sums, and send the fleet-wide
+//! Once a period, each entry sends the service units that its customers requested to its parent
+//! in its hall's tree of entries. The leaders at the roots of these trees of the halls add up their halls' usage, exchange the sums, and send the fleet-wide
 //! total back down. [`AdmissionControl`] compares the total with the customers' weights and
 //! rejects requests of customers over their fair share while the servers are full. The period
 //! grows with the size of the messages, to limit the bandwidth of the exchange.
@@ -21,7 +21,7 @@
 use std::{collections::HashMap, net::SocketAddr, slice, sync::Arc, time::Duration};
 use tokio::time;
 
-/// Bounds of the time between exchanges.
+/// Bounds of the period of the exchange.
 const PERIOD_MIN: Duration = Duration::from_secs(1);
 const PERIOD_MAX: Duration = Duration::from_secs(12);
 /// Bytes per second that the exchange may use at a hall's leader.
@@ -32,17 +32,17 @@
 const INTERVAL_DRIFT: f64 = 1.3;
 /// Weight of the latest period in a smoothed rate.
 const RATE_SMOOTH: f64 = 0.3;
-/// Units per second below which a customer's rate is dropped.
+/// Service units per second below which a customer's rate is no longer kept.
 const RATE_MIN: f64 = 0.5;
 
 /// Weights of the customers in the table.
 type Weights = HashMap<CustomerTag, f64>;
-/// Time between subscriptions to the same agent, in report intervals, and its minimum.
+/// Report intervals between two subscriptions to the same agent, and the minimum time.
 const RENEW_INTERVALS: u32 = 3;
 const RENEW_MIN: Duration = Duration::from_secs(4);
 
-/// Adjusts the period of the exchange to its bandwidth limit. The leader of a hall adjusts the
-/// period for the hall.
+/// Chooses the period so that the exchange stays within its bandwidth limit. The leader of a hall
+/// chooses the period for the hall; other entries adopt the period that the total states.
 #[derive(Clone, Copy, Debug)]
 struct PeriodControl {
     period: Duration,
@@ -57,9 +57,9 @@
 }
 
 impl PeriodControl {
-    fn add_bytes(&mut self, usage: &Usage, times: usize) {
+    fn add_bytes(&mut self, usage: &Usage, copies: usize) {
         self.bytes +=
-            times * (wire::encoded_len(&Packet::Usage(usage.clone())) + DATAGRAM_OVERHEAD);
+            copies * (wire::encoded_len(&Packet::Usage(usage.clone())) + DATAGRAM_OVERHEAD);
     }
 
     /// Sets the period in which the bytes counted fit the bandwidth limit.
@@ -73,9 +73,9 @@
 /// State of the exchange at this entry.
 #[derive(Debug, Default)]
 pub struct UsageExchange {
-    /// Units that customers requested here in the current period.
+    /// Service units that customers requested at this entry in the current period.
     offered: HashMap<CustomerTag, u64>,
-    /// Units per second that customers request here, smoothed.
+    /// Service units per second that customers request at this entry, smoothed.
     own_rates: HashMap<CustomerTag, f64>,
     /// Usage of this entry and its children in the tree, to be sent to the parent.
     pending: PendingUsage,
@@ -112,7 +112,7 @@
         self.estimator.estimate(customer, requested)
     }
 
-    /// Returns a customer's rate here and fleet-wide, in units per second.
+    /// Returns a customer's rates at this entry and fleet-wide, in service units per second.
     pub fn rates(&self, customer: &str) -> (u64, u64) {
         let tag = CustomerTag::of(customer);
         let own = self.own_rates.get(&tag).copied().unwrap_or(0.0);
@@ -148,7 +148,7 @@
         due
     }
 
-    /// Ends a period: updates the rates and the state of the queues.
+    /// Ends a period: updates the rates, and passes the averages of the queues to admission.
     fn close_period(&mut self, seconds: f64, queues: &QueueStats) {
         self.admission.observe(queues.wait_s, queues.queue_slots);
         for (customer, rate) in &mut self.own_rates {
@@ -174,16 +174,16 @@
     }
 }
 
-/// Sends usage to the parent in the tree, or shares the total, once a period.
+/// Once a period, sends usage to the parent in the tree or, at a hall leader, shares the total.
 pub async fn run_exchange(shared: Arc<Shared>) {
-    let mut closed = shared.context.clock.now();
+    let mut last_close = shared.context.clock.now();
     loop {
         let period = lock(&shared.usage).period_control.period;
         time::sleep(period).await;
         let now = shared.context.clock.now();
         let queues = lock(&shared.view).queue_stats(now);
-        lock(&shared.usage).close_period(now.since(closed).as_secs_f64().max(1e-3), &queues);
-        closed = now;
+        lock(&shared.usage).close_period(now.since(last_close).as_secs_f64().max(1e-3), &queues);
+        last_close = now;
         let tree = tree(&shared);
         let weights = weights(&shared);
         let usage =
@@ -214,8 +214,8 @@
     pending.merge(&usage);
 }
 
-/// Sends the usage of the hall to the leaders of other halls, and the total, including what they
-/// sent, down the tree. Only leaders call this.
+/// Sends the usage of the hall to the leaders of other halls. Adds the usage received from those
+/// leaders, and sends the total down the tree. Only hall leaders call this.
 async fn share_total(shared: &Arc<Shared>, tree: &UsageTree, usage: &Usage, weights: &Weights) {
     send_all(shared, &tree.peers, usage).await;
     let total = {
--- a/src/mastweir/entry/view.rs
+++ b/src/mastweir/entry/view.rs
@@ -22,13 +22,13 @@
 /// Maximum bindings of an at-most-once operation.
 const BINDINGS_MAX: usize = 3;
 
-/// Assumed units of a request while no request is queued.
+/// Assumed cost of a request while no request is queued, in service units.
 const DEFAULT_COST: f64 = 100.0;
 
-/// Average state of the servers' queues.
+/// Averages over the servers' queues.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueStats {
-    /// Seconds of queued work.
+    /// Seconds that a server needs for its queued work.
     pub wait_s: f64,
     /// Capacity of a server's queue in requests.
     pub queue_slots: f64,
@@ -51,7 +51,7 @@
     instances: BTreeMap<String, InstanceSpec>,
     routers: HashMap<String, Router>,
     drained: HashSet<String>,
-    /// Entries in the instance list; counted when the list changes, as each request needs it.
+    /// Number of instances with the role entry. Kept, since each request needs this number.
     entry_count: u32,
     has_list: bool,
 }
@@ -83,7 +83,7 @@
         all.map(|(name, spec)| (name.as_str(), spec))
     }
 
-    /// Returns the number of entries in the instance list.
+    /// Returns the number of listed instances with the role entry.
     pub const fn entry_count(&self) -> u32 {
         self.entry_count
     }
@@ -120,7 +120,7 @@
         self.rebuild();
     }
 
-    /// Returns averages over all servers with a current report.
+    /// Returns the averages over all servers with a current report.
     pub fn queue_stats(&self, now: Uptime) -> QueueStats {
         let loads: Vec<&Load> = self.routers.values().flat_map(|r| r.loads(now)).collect();
         let count = loads.len().max(1) as f64;
@@ -134,8 +134,8 @@
         QueueStats { wait_s: waits.sum::<f64>() / count, queue_slots }
     }
 
-    /// Returns what each server of a group last reported of its ranks' incarnations. The value
-    /// changes when a rank of the server is replaced.
+    /// Returns, by server of a group, the last reported `rank_incarnations`: a number that changes
+    /// when a rank of the server is replaced.
     pub fn rank_incarnations(&self, group: &str) -> BTreeMap<String, u64> {
         let is_member = |name: &str| {
             let part = self.instances.get(name).and_then(|spec| spec.group.as_ref());
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Records the end of a request at a server. Returns whether this ejects the server.
+    /// Records the end of a request at a server, with the signal for outlier ejection. Returns
+    /// whether the server is ejected now.
     pub fn record_ended(
         &mut self,
         service: &str,
@@ -230,8 +231,8 @@
         names.into_iter().filter_map(|name| Some(self.instances.get(name)?.udp)).collect()
     }
 
-    /// Returns the time on the agent's clock after `lifetime`, by its last report. `None` if the
-    /// agent has not reported.
+    /// Returns the time on the agent's clock at which a binding made now with `lifetime` expires.
+    /// `None` if the agent has not reported the time on its clock.
     fn expiry(
         &self,
         service: &str,
@@ -278,8 +279,8 @@
                 })
                 .collect();
             for server in &mut servers {
-                let listed = self.instances[&server.name].state == InstanceState::Leaving;
-                server.leaving = listed || self.drained.contains(&server.name);
+                let is_leaving = self.instances[&server.name].state == InstanceState::Leaving;
+                server.leaving = is_leaving || self.drained.contains(&server.name);
             }
             router.set_servers(servers);
         }
