--- a/src/bin/mastweir/commands/explain.rs
+++ b/src/bin/mastweir/commands/explain.rs
@@ -4,7 +4,7 @@
 use argh::FromArgs;
 use mastweir::ops::{
     explain::{ExplainOptions, explain},
-    logs::{StoryOptions, story},
+    logs::{TraceOptions, trace},
 };
 use std::path::PathBuf;
 
@@ -43,15 +43,15 @@
         eyre::bail!("no request's id; give one, and the log files of the gateways");
     };
     let files: Vec<PathBuf> = files.iter().map(PathBuf::from).collect();
-    let story = story(StoryOptions { id, files: &files })?;
+    let trace = trace(TraceOptions { id, files: &files })?;
     if args.json {
-        print_json(&story)?;
+        print_json(&trace)?;
         return Ok(EXIT_DONE);
     }
-    for step in &story.steps {
+    for step in &trace.steps {
         println!("{:>10.3} {} {}: {}", step.at_s, step.instance, step.what, step.details);
     }
-    println!("{}", story.cause);
+    println!("{}", trace.cause);
     Ok(EXIT_DONE)
 }
 
--- a/src/mastweir/ops/logs/mod.rs
+++ b/src/mastweir/ops/logs/mod.rs
@@ -1,18 +1,18 @@
-//! What processes wrote, read back: the story of one request, and what a time's losses
-//! were for.
+//! Analysis of the logs of gateways and sidecars, for `mastweir explain` and
+//! `mastweir report`: the trace of one request, and a summary of how requests ended.
 //!
-//! Both work from log lines alone, of any number of processes and in any order of files;
-//! a time and a process's name may stand before each line. Lines that can't be read are
-//! counted and passed over.
+//! Both read only log lines in JSON, from any number of processes and in any order of files.
+//! A line may be prefixed with a time in seconds and a process name. Lines that can't be
+//! parsed are counted and skipped.
 
 mod line;
 mod plot;
 mod report;
-mod story;
+mod trace;
 
 pub use plot::{PlotOptions, plot};
 pub use report::{Report, ReportOptions, Second, report};
-pub use story::{Step, Story, StoryOptions, story};
+pub use trace::{RequestTrace, TraceOptions, TraceStep, trace};
 
 use eyre::WrapErr;
 use std::{
@@ -21,7 +21,8 @@
     path::{Path, PathBuf},
 };
 
-/// Where lines are read from: files, or standard input if there are none or one is `-`.
+/// Calls `each` with every line of the files. Reads standard input for the path `-`, and if
+/// there are no files.
 pub(crate) fn read_lines(files: &[PathBuf], mut each: impl FnMut(&str)) -> eyre::Result<()> {
     if files.is_empty() {
         return read_from(io::stdin().lock(), &mut each).wrap_err("reading standard input");
@@ -40,9 +41,9 @@
     Ok(())
 }
 
-fn read_from(mut from: impl BufRead, each: &mut impl FnMut(&str)) -> io::Result<()> {
+fn read_from(mut reader: impl BufRead, each: &mut impl FnMut(&str)) -> io::Result<()> {
     let mut bytes = Vec::new();
-    while from.read_until(b'\n', &mut bytes)? > 0 {
+    while reader.read_until(b'\n', &mut bytes)? > 0 {
         each(String::from_utf8_lossy(&bytes).trim_end());
         bytes.clear();
     }
--- a/src/mastweir/ops/logs/report.rs
+++ b/src/mastweir/ops/logs/report.rs
@@ -1,46 +1,46 @@
-//! What a time's losses were for.
+//! Summarizes logs: how many requests were served, late, refused or failed in each second, and
+//! the causes, routes and instances of those that were not served in time.
 
 use super::{
-    line::{Line, Read},
+    line::{Line, ParsedLine},
     read_lines,
 };
 use serde::Serialize;
 use std::{collections::BTreeMap, path::PathBuf};
 
-/// Seconds that are kept apart: a day of a fleet. Later ones are added to the last.
+/// Most seconds with counts of their own: a day. Later seconds are added to the last one.
 const SECONDS_MAX: usize = 86_400;
-/// Names that are kept apart in each table; the rest is "other".
+/// Most names in each table; further names are counted as "other".
 const NAMES_MAX: usize = 200;
 
-/// Which logs.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportOptions<'a> {
-    /// Log files; none for standard input.
+    /// Log files; standard input if empty.
     pub files: &'a [PathBuf],
-    /// Told of every so many lines read.
+    /// Called with the number of lines read, at regular intervals.
     pub progress: Option<fn(u64)>,
 }
 
-/// How requests ended in one second.
+/// Counts of one second, or of the whole report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Served, as far as can be told in time.
+    /// Requests served in time, as far as the logs show.
     pub served: u32,
-    /// Served late: a first event, or a pause, or a plain answer.
+    /// Requests served late: the first event, a gap in the stream, or a plain answer.
     pub late: u32,
-    /// Refused, not run.
+    /// Requests refused before they ran.
     pub refused: u32,
-    /// Cut, or ended with a failure.
+    /// Requests that failed, or whose stream was cut.
     pub failed: u32,
-    /// Milliseconds of the longest pass that a stream saw.
+    /// Duration of the longest pass during a stream, in milliseconds.
     pub pass_ms: u64,
-    /// Skew of the experts that a plan found, in thousandths.
+    /// Highest skew of expert load that a map was planned for, in thousandths.
     pub skew_milli: u64,
-    /// Maps that took force.
+    /// Expert maps that came into force.
     pub maps: u32,
-    /// Coordinators that began.
+    /// Elections of a coordinator.
     pub leads: u32,
-    /// Orders that got no answer.
+    /// Orders of coordinators that got no answer.
     pub orders_lost: u32,
 }
 
@@ -58,50 +58,50 @@
     }
 }
 
-/// Losses of a time.
+/// Summary of logs. A loss is a request that was not served in time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// All of it.
+    /// Sum of all seconds.
     pub total: Second,
-    /// Requests that were not served in time, by cause.
+    /// Losses by cause.
     pub causes: BTreeMap<String, u32>,
-    /// The same by route.
+    /// Losses by route.
     pub routes: BTreeMap<String, u32>,
-    /// The same by instance.
+    /// Losses by the instance that logged them.
     pub instances: BTreeMap<String, u32>,
-    /// Dependencies lost and regained, elections, and the like, by what was said.
+    /// Events of the fleet, such as lost dependencies and elections, by log message.
     pub events: BTreeMap<String, u32>,
-    /// By second, as the log counts them.
+    /// Counts by second, on the time scale of the logs.
     pub seconds: BTreeMap<i64, Second>,
-    /// Lines read.
+    /// Number of lines read.
     pub lines: u64,
-    /// Those among them that begin like ours and can't be read.
+    /// Number of lines with JSON that could not be parsed.
     pub malformed: u64,
 }
 
-/// Sums logs up.
+/// Summarizes logs.
 ///
 /// # Errors
 ///
 /// A file can't be read.
 pub fn report(options: ReportOptions<'_>) -> eyre::Result<Report> {
-    const TELL_EVERY: u64 = 200_000;
+    const PROGRESS_INTERVAL: u64 = 200_000;
     let mut report = Report::default();
     read_lines(options.files, |text| {
         report.lines += 1;
-        if report.lines.is_multiple_of(TELL_EVERY) {
-            options.progress.into_iter().for_each(|tell| tell(report.lines));
+        if report.lines.is_multiple_of(PROGRESS_INTERVAL) {
+            options.progress.into_iter().for_each(|notify| notify(report.lines));
         }
-        match Line::read(text) {
-            Read::Line(line) => report.take(&line),
-            Read::Malformed => report.malformed += 1,
-            Read::Other => (),
+        match Line::parse(text) {
+            ParsedLine::Valid(line) => report.record(&line),
+            ParsedLine::Malformed => report.malformed += 1,
+            ParsedLine::Other => (),
         }
     })?;
     Ok(report)
 }
 
-/// What is counted as an event of the fleet.
+/// Log messages that are counted as events of the fleet.
 const EVENTS: [&str; 14] = [
     "gateway started",
     "gateway stopping",
@@ -120,7 +120,7 @@
 ];
 
 impl Report {
-    fn take(&mut self, line: &Line) {
+    fn record(&mut self, line: &Line) {
         let mut second = Second::default();
         match line.message() {
             "request" if line.text("outcome") == "answered" => {
@@ -133,7 +133,7 @@
                 }
                 if failed || late {
                     let cause = if failed { "a server's failure" } else { "a late answer" };
-                    self.lose(cause, line);
+                    self.count_loss(cause, line);
                 }
             }
             "request" if line.text("outcome") == "ended" => {
@@ -141,30 +141,32 @@
                     second.refused = 1;
                 } else {
                     second.failed = 1;
-                    self.lose("no answer of a server", line);
+                    self.count_loss("no answer of a server", line);
                 }
             }
-            "no server found" => self.lose(&format!("refused: {}", line.text("reason")), line),
+            "no server found" => {
+                self.count_loss(&format!("refused: {}", line.text("reason")), line);
+            }
             "request refused" if line.number("status") == Some(503) => {
                 second.refused = 1;
-                self.lose(&format!("refused: {}", line.text("reason")), line);
+                self.count_loss(&format!("refused: {}", line.text("reason")), line);
             }
             "stream timing" => {
                 second.pass_ms = line.number("pass_ms").unwrap_or_default();
                 if !["no", ""].contains(&line.text("late")) {
-                    self.lose(&format!("late stream: {}", line.text("late")), line);
+                    self.count_loss(&format!("late stream: {}", line.text("late")), line);
                 }
-                // One that was cut has a line of its own.
-                let is_whole = line.text("end") == "complete";
+                // A stream that was cut is counted by its "stream cut" line.
+                let is_complete = line.text("end") == "complete";
                 match line.text("late") {
-                    "no" if is_whole => second.served = 1,
-                    _ if is_whole => second.late = 1,
+                    "no" if is_complete => second.served = 1,
+                    _ if is_complete => second.late = 1,
                     _ => (),
                 }
             }
             "stream cut" => {
                 second.failed = 1;
-                self.lose(&format!("stream cut: {}", line.text("reason")), line);
+                self.count_loss(&format!("stream cut: {}", line.text("reason")), line);
             }
             "map in force" => second.maps = 1,
             "map planned" => {
@@ -189,7 +191,7 @@
         }
     }
 
-    fn lose(&mut self, cause: &str, line: &Line) {
+    fn count_loss(&mut self, cause: &str, line: &Line) {
         count(&mut self.causes, cause);
         let route = line.text("route");
         if !route.is_empty() {
--- a/src/mastweir/ops/logs/story.rs
+++ b/src/mastweir/ops/logs/trace.rs
@@ -1,91 +1,91 @@
-//! One request's way, and why it ended as it did.
+//! Traces one request through the logs of gateways: what happened to it, in order, and why it
+//! ended as it did.
 
 use super::{
-    line::{Line, Read},
+    line::{Line, ParsedLine},
     read_lines,
 };
 use serde::Serialize;
 use std::{collections::BTreeSet, path::PathBuf};
 
-/// Which request, and where to look for it.
 #[derive(Clone, Copy, Debug)]
-pub struct StoryOptions<'a> {
-    /// The request's id, or the fingerprint that all its attempts have in common.
+pub struct TraceOptions<'a> {
+    /// Id of one attempt at a request, or the fingerprint that all its attempts share.
     pub id: &'a str,
-    /// Log files; none for standard input.
+    /// Log files; standard input if empty.
     pub files: &'a [PathBuf],
 }
 
-/// One thing that happened.
+/// One log line about the request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Step {
-    /// Seconds, as the log counts them.
+pub struct TraceStep {
+    /// Seconds, on the time scale of the logs.
     pub at_s: f64,
-    /// Who wrote it.
+    /// Instance that logged the line.
     pub instance: String,
-    /// What happened.
+    /// Message of the line.
     pub what: String,
-    /// What it rested on.
+    /// Its other fields, as `name=value`.
     pub details: String,
 }
 
-/// What is known of a request.
+/// What the logs say about a request.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Story {
-    /// What happened, in order.
-    pub steps: Vec<Step>,
-    /// Why it ended so, in a sentence.
+pub struct RequestTrace {
+    /// Its log lines in order of time.
+    pub steps: Vec<TraceStep>,
+    /// Why the request ended as it did, in a sentence.
     pub cause: String,
-    /// Lines that could not be read.
+    /// Number of lines that contain the id and could not be parsed.
     pub malformed: u64,
 }
 
-/// A request's story.
+/// Collects the log lines about a request, and derives why it ended as it did.
 ///
 /// # Errors
 ///
 /// A file can't be read, or no line names the request.
-pub fn story(options: StoryOptions<'_>) -> eyre::Result<Story> {
+pub fn trace(options: TraceOptions<'_>) -> eyre::Result<RequestTrace> {
     let mut lines: Vec<Line> = Vec::new();
-    let (mut malformed, mut all) = (0, 0_u64);
+    let (mut malformed, mut total) = (0, 0_u64);
     read_lines(options.files, |text| {
-        all += 1;
-        // Reading all of a fleet's lines takes minutes; those that name it are few.
+        total += 1;
+        // A text search is much cheaper than parsing every line.
         if !text.contains(options.id) {
             return;
         }
-        match Line::read(text) {
-            Read::Line(line) if names(&line, options.id) => lines.push(line),
-            Read::Malformed => malformed += 1,
-            Read::Line(_) | Read::Other => (),
+        match Line::parse(text) {
+            ParsedLine::Valid(line) if is_about(&line, options.id) => lines.push(line),
+            ParsedLine::Malformed => malformed += 1,
+            ParsedLine::Valid(_) | ParsedLine::Other => (),
         }
     })?;
     eyre::ensure!(
         !lines.is_empty(),
-        "no line of {all} names request {}: its gateway's log may be missing or rotated away, or \
+        "no line of {total} names request {}: its gateway's log may be missing or rotated away, or \
          the id is another's; give the logs of all gateways",
         options.id
     );
     lines.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let step = |line: &Line| Step {
+    let step = |line: &Line| TraceStep {
         at_s: line.at_s,
         instance: line.instance.clone(),
         what: line.message().to_owned(),
         details: line.details(),
     };
     let is_attempt = lines.iter().any(|line| line.text("id") == options.id);
-    let cause = if is_attempt { cause(&lines) } else { in_common(&lines) };
-    Ok(Story { steps: lines.iter().map(step).collect(), cause, malformed })
+    let cause = if is_attempt { cause(&lines) } else { attempts_summary(&lines) };
+    Ok(RequestTrace { steps: lines.iter().map(step).collect(), cause, malformed })
 }
 
-/// Whether a line is about an attempt, or a request that has the fingerprint.
-fn names(line: &Line, id: &str) -> bool {
+/// Returns whether a line is about the attempt, or about a request with the fingerprint, `id`.
+fn is_about(line: &Line, id: &str) -> bool {
     line.text("id") == id || line.text("fingerprint") == id
 }
 
-/// What became of all attempts at one request, as far as lines name its fingerprint: only
-/// those do that say that an attempt failed.
-fn in_common(lines: &[Line]) -> String {
+/// Summarizes the failed attempts at one request: only lines about a failed attempt have its
+/// fingerprint.
+fn attempts_summary(lines: &[Line]) -> String {
     let distinct = |texts: Vec<&str>| {
         let texts: BTreeSet<&str> = texts.into_iter().filter(|text| !text.is_empty()).collect();
         texts.len()
@@ -99,7 +99,7 @@
     )
 }
 
-/// Why a request ended as it did, in a sentence.
+/// Returns why a request ended as it did, in a sentence.
 fn cause(lines: &[Line]) -> String {
     let last = |message: &str| lines.iter().rev().find(|line| line.message() == message);
     if let Some(line) = last("request refused") {
@@ -109,7 +109,7 @@
         let left = line
             .number("left_ms")
             .map_or(String::new(), |left| format!(", with {left} ms left to its caller"));
-        return format!("{}{left}", unfound(line.text("reason")));
+        return format!("{}{left}", refusal_cause(line.text("reason")));
     }
     if let Some(line) = last("stream cut") {
         let reason = match line.text("reason") {
@@ -117,10 +117,10 @@
             "not resumed" => "its server was lost, and no other took it up",
             other => other,
         };
-        return format!("the stream was cut: {reason}{}", pace(lines));
+        return format!("the stream was cut: {reason}{}", lateness(lines));
     }
     if last("stream complete").is_some() {
-        return format!("served whole{}", pace(lines));
+        return format!("served whole{}", lateness(lines));
     }
     let Some(line) = last("request") else {
         return "not ended yet, or its last lines are missing".to_owned();
@@ -151,7 +151,7 @@
     }
 }
 
-fn unfound(reason: &str) -> &str {
+fn refusal_cause(reason: &str) -> &str {
     match reason {
         "full" => "refused, not run: its servers had more than their places hold",
         "standing" => "refused, not run: the groups of all its servers stood still",
@@ -160,8 +160,8 @@
     }
 }
 
-/// How a stream kept pace, where that was late.
-fn pace(lines: &[Line]) -> String {
+/// Returns why a stream was late; empty if it was not.
+fn lateness(lines: &[Line]) -> String {
     let Some(line) = lines.iter().rev().find(|line| line.message() == "stream timing") else {
         return String::new();
     };
--- a/tests/testsuite/sight.rs
+++ b/tests/testsuite/log_analysis.rs
@@ -1,14 +1,15 @@
-//! What the operators' tool reads out of logs: a request's story, and a time's losses.
+//! Guards the log analysis of `mastweir explain` and `mastweir report`: traces of requests, their
+//! causes, and the counts of a report.
 
 use eyre::Result;
 use googletest::prelude::*;
 use mastweir::ops::logs::{
-    PlotOptions, Report, ReportOptions, Story, StoryOptions, plot, report, story,
+    PlotOptions, Report, ReportOptions, RequestTrace, TraceOptions, plot, report, trace,
 };
 use std::{env, fs, path::PathBuf, process};
 
-/// Lines of two gateways and a sidecar: with and without a time before them, one cut, one of
-/// another program, out of order.
+/// Lines of two gateways and a sidecar, out of order: with and without a time before them, one
+/// truncated, one of another program.
 const LINES: &str = r#"  11.2000 gw-b {"msg":"no server found","level":"INFO","ts":"2026-10-03T06:53:52.2Z","instance":"gw-b","directory":9,"left_ms":5300,"returned":true,"tried":"","reason":"standing","service":"s","id":"r-2"}
   11.2010 gw-b {"msg":"request","level":"INFO","ts":"2026-10-03T06:53:52.201Z","instance":"gw-b","config":4,"server":null,"sends":0,"waited_ms":null,"late":"no","took_ms":80,"status":503,"outcome":"ended","route":"draft","id":"r-2"}
   10.1000 gw-a {"msg":"request","level":"INFO","ts":"2026-10-03T06:53:51.1Z","instance":"gw-a","config":4,"server":"i-1","sends":1,"waited_ms":0,"late":"no","took_ms":155,"status":200,"outcome":"streaming","route":"draft","id":"r-1"}
@@ -27,18 +28,18 @@
   13.0000 gw-b {"msg":"stream cut","level":"INFO","ts":"2026-10-03T06:53:54Z","instance":"gw-b","reason":"late","last_event":"11","tried":"i-1","took_ms":8000,"id":"r-5"}
 "#;
 
-/// A file with the lines, removed at the end.
-struct Logs(PathBuf);
+/// A log file with [`LINES`], removed on drop.
+struct LogFile(PathBuf);
 
-impl Logs {
+impl LogFile {
     fn write(name: &str) -> Result<Self> {
-        let path = env::temp_dir().join(format!("mastweir-sight-{}-{name}", process::id()));
+        let path = env::temp_dir().join(format!("mastweir-logs-{}-{name}", process::id()));
         fs::write(&path, LINES)?;
         Ok(Self(path))
     }
 
-    fn story(&self, id: &str) -> Result<Story> {
-        story(StoryOptions { id, files: std::slice::from_ref(&self.0) })
+    fn trace(&self, id: &str) -> Result<RequestTrace> {
+        trace(TraceOptions { id, files: std::slice::from_ref(&self.0) })
     }
 
     fn report(&self) -> Result<Report> {
@@ -46,45 +47,45 @@
     }
 }
 
-impl Drop for Logs {
+impl Drop for LogFile {
     fn drop(&mut self) {
-        // The folder is for what may be left.
+        // The folder is temporary: a file that can't be removed does no harm.
         let _ = fs::remove_file(&self.0);
     }
 }
 
 #[googletest::test]
-fn a_request_is_explained_in_order_with_one_cause() -> Result<()> {
-    let logs = Logs::write("story")?;
-    let mut told = String::new();
+fn request_is_traced_in_order_with_its_cause() -> Result<()> {
+    let logs = LogFile::write("trace")?;
+    let mut text = String::new();
     for id in ["r-1", "r-2", "r-3", "r-4", "r-5", "00c0ffee00c0ffee"] {
-        let story = logs.story(id)?;
-        for step in &story.steps {
-            told += &format!("{id} {:.3} {} {}\n", step.at_s, step.instance, step.what);
+        let trace = logs.trace(id)?;
+        for step in &trace.steps {
+            text += &format!("{id} {:.3} {} {}\n", step.at_s, step.instance, step.what);
         }
-        told += &format!("{id}: {}\n", story.cause);
+        text += &format!("{id}: {}\n", trace.cause);
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(text);
     Ok(())
 }
 
 #[googletest::test]
-fn a_request_that_no_line_names_is_said_so_with_the_remedy() -> Result<()> {
-    let logs = Logs::write("unknown")?;
-    let error = logs.story("r-99").err().map(|error| error.to_string());
+fn unknown_request_is_reported_with_a_remedy() -> Result<()> {
+    let logs = LogFile::write("unknown")?;
+    let error = logs.trace("r-99").err().map(|error| error.to_string());
     expect_that!(error, some(contains_substring("no line of 16 names request r-99")));
     let missing = PathBuf::from("no-such-file");
-    let error = story(StoryOptions { id: "r-1", files: &[missing] }).err();
+    let error = trace(TraceOptions { id: "r-1", files: &[missing] }).err();
     expect_that!(error.map(|error| error.to_string()), some(contains_substring("check that")));
     Ok(())
 }
 
 #[googletest::test]
-fn losses_are_summed_and_drawn() -> Result<()> {
-    let logs = Logs::write("report")?;
+fn report_counts_losses_and_is_drawn() -> Result<()> {
+    let logs = LogFile::write("report")?;
     let report = logs.report()?;
     insta::assert_snapshot!(serde_json::to_string_pretty(&report)?);
-    let file = env::temp_dir().join(format!("mastweir-sight-{}.svg", process::id()));
+    let file = env::temp_dir().join(format!("mastweir-logs-{}.svg", process::id()));
     plot(&report, PlotOptions { file: &file })?;
     let drawn = fs::read_to_string(&file)?;
     fs::remove_file(&file)?;
