--- a/src/bin/mastweir/commands/check.rs
+++ b/src/bin/mastweir/commands/check.rs
@@ -16,7 +16,7 @@
 /// Runs it.
 pub fn exec(args: &Args) -> eyre::Result<i32> {
     let text = read_input(&args.sheet)?;
-    let lines = mastweir::ops::table::lines_of(&text)?;
+    let lines = mastweir::ops::table::parse_csv(&text)?;
     let customers = customers_from_csv(&lines)?;
     println!("{} rows, all good", customers.len());
     Ok(EXIT_DONE)
--- a/src/mastweir/ops/daemon.rs
+++ b/src/mastweir/ops/daemon.rs
@@ -1,4 +1,5 @@
-//! Running a daemon until it is told to stop.
+//! Runs an entry instance or an agent until SIGTERM or SIGINT: checks the settings from the
+//! command line, starts the process, prints its addresses and stops it gracefully.
 
 use crate::{
     Context, ContextOptions,
@@ -16,64 +17,61 @@
 use std::{net::SocketAddr, str::FromStr, time::Duration};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Settings of every daemon, as they were written.
+/// Unparsed settings common to all daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct CommonOptions<'a> {
     /// Name in the instance list.
     pub name: &'a str,
-    /// Data hall.
     pub hall: &'a str,
-    /// Secret of the fleet's processes.
+    /// Secret that the processes of the fleet share.
     pub secret: &'a str,
     /// Base address of the object API.
     pub platform: &'a str,
-    /// Token for it.
+    /// Bearer token for the object API.
     pub token: &'a str,
-    /// Address for other processes.
+    /// Address on which other processes reach this one.
     pub listen: &'a str,
-    /// Address for metrics.
+    /// Address to send StatsD metrics to; `None` sends none.
     pub statsd: Option<&'a str>,
-    /// Log format.
+    /// Log format: `text`, `json` or `off`.
     pub log: &'a str,
-    /// Least level logged.
+    /// Lowest level that is logged.
     pub log_level: &'a str,
-    /// Seconds at a planned stop.
+    /// Seconds for requests in flight to complete at a graceful stop.
     pub grace_s: u64,
 }
 
 /// Settings of an entry instance.
 #[derive(Clone, Copy, Debug)]
 pub struct RunEntryOptions<'a> {
-    /// Those of every daemon.
     pub common: CommonOptions<'a>,
-    /// Address for callers and operators.
+    /// HTTP address for callers and operators.
     pub http: &'a str,
-    /// Hash of the operators' key.
+    /// BLAKE3 hash of the operators' key, in hexadecimal.
     pub operator_key_hash: &'a str,
-    /// Seed of random choices.
+    /// Seed of random choices; `None` draws one.
     pub seed: Option<u64>,
 }
 
 /// Settings of an agent.
 #[derive(Clone, Copy, Debug)]
 pub struct RunAgentOptions<'a> {
-    /// Those of every daemon.
     pub common: CommonOptions<'a>,
     /// Base address of the engine.
     pub engine: &'a str,
     /// Services, separated by commas.
     pub services: &'a str,
-    /// Requests that run at once.
+    /// Most requests that run at once.
     pub slots: u16,
-    /// Requests that wait at most.
+    /// Most requests that wait.
     pub queue: usize,
-    /// Part of a rank group.
+    /// Ranks of a group that the server holds, as `NAME:FIRST:RANKS:OF`.
     pub group: Option<&'a str>,
 }
 
-/// What a daemon prints once it listens, as one line of JSON.
+/// Addresses that a daemon prints once it listens, as one line of JSON.
 #[derive(Debug, Serialize)]
-struct Listening {
+struct ListenAddrs {
     tcp: SocketAddr,
     udp: SocketAddr,
     http: Option<SocketAddr>,
@@ -83,9 +81,9 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError`], or an address can't be used.
+/// [`SettingsError`], or an address that can't be bound.
 pub async fn run_entry(options: &RunEntryOptions<'_>) -> eyre::Result<()> {
-    let context = context(&options.common)?;
+    let context = new_context(&options.common)?;
     let operator = options.operator_key_hash;
     if !is_key_hash(operator) {
         let remedy = "give the 64 hexadecimal digits that 'mastweir key hash' prints";
@@ -103,7 +101,7 @@
         },
     )
     .await?;
-    tell(&Listening { tcp: entry.tcp, udp: entry.udp, http: Some(entry.http) })?;
+    print_addrs(&ListenAddrs { tcp: entry.tcp, udp: entry.udp, http: Some(entry.http) })?;
     wait_for_stop().await?;
     entry.stop().await;
     Ok(())
@@ -113,9 +111,9 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError`], or an address can't be used.
+/// [`SettingsError`], or an address that can't be bound.
 pub async fn run_agent(options: &RunAgentOptions<'_>) -> eyre::Result<()> {
-    let context = context(&options.common)?;
+    let context = new_context(&options.common)?;
     let services: Vec<String> = options.services.split(',').map(str::to_owned).collect();
     if services.iter().any(String::is_empty) {
         let remedy = "give names separated by commas, as in assistant,desk";
@@ -134,19 +132,19 @@
             services,
             slots: options.slots,
             queue: options.queue,
-            group: options.group.map(group).transpose()?,
+            group: options.group.map(parse_group).transpose()?,
             grace: Duration::from_secs(options.common.grace_s),
         },
     )
     .await?;
-    tell(&Listening { tcp: agent.tcp, udp: agent.udp, http: None })?;
+    print_addrs(&ListenAddrs { tcp: agent.tcp, udp: agent.udp, http: None })?;
     wait_for_stop().await?;
     agent.stop().await;
     Ok(())
 }
 
-/// Checks the settings of every daemon, and makes its context.
-fn context(options: &CommonOptions<'_>) -> eyre::Result<Context> {
+/// Checks the common settings, and creates the context of the process.
+fn new_context(options: &CommonOptions<'_>) -> eyre::Result<Context> {
     for (flag, value) in [("name", options.name), ("hall", options.hall)] {
         if value.is_empty() || value.len() > 48 {
             let remedy = "give 1 to 48 characters, as in the platform's instance list";
@@ -177,24 +175,24 @@
     })
 }
 
-fn group(text: &str) -> Result<GroupSpec, SettingsError> {
-    let bad = || {
+fn parse_group(text: &str) -> Result<GroupSpec, SettingsError> {
+    let invalid = || {
         let remedy = "give NAME:FIRST:RANKS:OF, as in g1:0:2:32";
         SettingsError::new("group", text, "is no part of a group", remedy)
     };
     let parts: Vec<&str> = text.split(':').collect();
-    let [name, first, ranks, of] = parts[..] else { return Err(bad()) };
-    let number = |text: &str| text.parse::<u16>().map_err(|_| bad());
+    let [name, first, ranks, of] = parts[..] else { return Err(invalid()) };
+    let number = |text: &str| text.parse::<u16>().map_err(|_| invalid());
     let (first, ranks, of) = (number(first)?, number(ranks)?, number(of)?);
-    let fits = ranks > 0 && first.checked_add(ranks).is_some_and(|end| end <= of);
-    if name.is_empty() || !fits {
-        return Err(bad());
+    let is_valid = ranks > 0 && first.checked_add(ranks).is_some_and(|end| end <= of);
+    if name.is_empty() || !is_valid {
+        return Err(invalid());
     }
     Ok(GroupSpec { name: name.to_owned(), first, ranks, of })
 }
 
-fn tell(listening: &Listening) -> eyre::Result<()> {
-    println!("{}", serde_json::to_string(listening)?);
+fn print_addrs(addrs: &ListenAddrs) -> eyre::Result<()> {
+    println!("{}", serde_json::to_string(addrs)?);
     Ok(())
 }
 
--- a/src/mastweir/ops/drain.rs
+++ b/src/mastweir/ops/drain.rs
@@ -1,35 +1,34 @@
-//! Taking a server out of service, and back.
+//! Takes a server out of service, and back, by writing or deleting its drain row in the table.
 
 use super::table::{Accepted, TableOptions, delete_row, write_row};
 use mastweir_core::table::{Drain, Row, RowKey, RowKind};
 
-/// Which server, and why.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainOptions<'a> {
-    /// How to reach the table.
+    /// Access to the table.
     pub table: TableOptions<'a>,
     /// Name of the server.
     pub server: &'a str,
-    /// Why, for other operators.
+    /// Reason that other operators see.
     pub reason: &'a str,
 }
 
-/// Drains a server: in force at every entry within seconds, nothing that runs
-/// there is cut.
+/// Drains a server: within seconds no entry instance sends it new requests. Running requests
+/// continue.
 ///
 /// # Errors
 ///
-/// The row was not accepted, or that can't be told.
+/// The row was not accepted, or whether it was is unknown.
 pub async fn drain(options: &DrainOptions<'_>) -> eyre::Result<Accepted> {
     let row = Row::Drain(Drain { reason: options.reason.to_owned() });
     write_row(&options.table, options.server, &row, None).await
 }
 
-/// Takes a server back into service.
+/// Returns a drained server to service.
 ///
 /// # Errors
 ///
-/// It was not drained, or that can't be told.
+/// The server was not drained, or whether the row was deleted is unknown.
 pub async fn undrain(options: &DrainOptions<'_>) -> eyre::Result<Accepted> {
     delete_row(&options.table, &RowKey::new(RowKind::Drain, options.server)).await
 }
--- a/src/mastweir/ops/entry_client.rs
+++ b/src/mastweir/ops/entry_client.rs
@@ -1,4 +1,4 @@
-//! The operators' side of an entry's `/-/` paths.
+//! HTTP client for the operators' paths (`/-/`) of entry instances.
 
 use crate::entry::{Decision, EntryStatus};
 use eyre::WrapErr;
@@ -6,9 +6,9 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-const CALL_TIME: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Entries, as an operator reaches them.
+/// Client for the operators' paths of several entry instances.
 #[derive(Clone, Debug)]
 pub struct EntryClient {
     client: Client,
@@ -17,50 +17,50 @@
 }
 
 impl EntryClient {
-    /// A client for entries at these base addresses.
+    /// Creates a client for the entry instances at these base addresses.
     ///
     /// # Errors
     ///
-    /// No client can be made, or no entry was named.
+    /// `entries` is empty, or the HTTP client can't be created.
     pub fn new(entries: &[String], key: &str) -> eyre::Result<Self> {
         eyre::ensure!(
             !entries.is_empty(),
             "reaching entries: none was named; give --entry http://IP:PORT, once for each"
         );
-        let client = Client::builder().timeout(CALL_TIME).build()?;
+        let client = Client::builder().timeout(CALL_TIMEOUT).build()?;
         let entries = entries.iter().map(|base| base.trim_end_matches('/').to_owned()).collect();
         Ok(Self { client, entries, key: key.to_owned() })
     }
 
-    /// Base addresses of the entries.
+    /// Returns the base addresses of the entry instances.
     pub fn entries(&self) -> &[String] {
         &self.entries
     }
 
-    /// An entry's status.
+    /// Fetches the status of an entry instance.
     ///
     /// # Errors
     ///
-    /// It can't be reached, or the key is not the operators'.
+    /// The instance can't be reached, or refuses the key.
     pub async fn status(&self, entry: &str) -> eyre::Result<EntryStatus> {
         self.get(entry, "status").await
     }
 
-    /// An entry's decisions on a subject.
+    /// Fetches the recent decisions of an entry instance on a subject.
     ///
     /// # Errors
     ///
-    /// It can't be reached, or the key is not the operators'.
+    /// The instance can't be reached, or refuses the key.
     pub async fn explain(&self, entry: &str, subject: &str) -> eyre::Result<Vec<Decision>> {
         self.get(entry, &format!("explain/{}", subject.replace(' ', "%20"))).await
     }
 
     async fn get<T: DeserializeOwned>(&self, entry: &str, path: &str) -> eyre::Result<T> {
         let url = format!("{entry}/-/{path}");
-        self.read(self.client.get(url)).await.wrap_err_with(|| format!("asking entry {entry}"))
+        self.fetch(self.client.get(url)).await.wrap_err_with(|| format!("asking entry {entry}"))
     }
 
-    async fn read<T: DeserializeOwned>(&self, request: RequestBuilder) -> eyre::Result<T> {
+    async fn fetch<T: DeserializeOwned>(&self, request: RequestBuilder) -> eyre::Result<T> {
         let response = request.bearer_auth(&self.key).send().await?;
         let status = response.status();
         eyre::ensure!(status != 401, "the key is not the operators'; check --operator-key");
--- a/src/mastweir/ops/gateway.rs
+++ b/src/mastweir/ops/gateway.rs
@@ -1,4 +1,5 @@
-//! Running a gateway or a sidecar on the users' platform.
+//! Runs a gateway or a sidecar on the users' platform until SIGTERM. The settings come from the
+//! platform's settings file, which is read again on SIGHUP and when it has changed.
 
 use crate::{
     gateway::{self, GatewayOptions, settings::Settings},
@@ -24,25 +25,24 @@
     time,
 };
 
-/// The settings file may change without a signal; a look at it is one system
-/// call.
-const FILE_LOOKED_AT: Duration = Duration::from_secs(1);
+/// Interval of checks for a settings file that changed without a signal.
+const FILE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Settings of a gateway that are not the platform's.
+/// Settings of a gateway from the command line.
 #[derive(Clone, Copy, Debug)]
 pub struct RunGatewayOptions<'a> {
-    /// Port for metrics.
+    /// Port for metrics; `None` serves none.
     pub metrics_port: Option<u16>,
-    /// Seed of random choices.
+    /// Seed of random choices; `None` draws one.
     pub seed: Option<u64>,
-    /// Least level logged.
+    /// Lowest level that is logged.
     pub log_level: &'a str,
 }
 
-/// Settings of a sidecar that are not the platform's.
+/// Settings of a sidecar from the command line.
 #[derive(Clone, Copy, Debug)]
 pub struct RunSidecarOptions<'a> {
-    /// Least level logged.
+    /// Lowest level that is logged.
     pub log_level: &'a str,
 }
 
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// The settings can't be used, or an address can't.
+/// The settings can't be read or are invalid, or an address can't be bound.
 pub fn run_gateway(options: &RunGatewayOptions<'_>) -> eyre::Result<()> {
     let log = make_log(options.log_level)?;
     let path = file::path()?;
@@ -66,9 +66,9 @@
         clock: Clock::start(),
         log: log.clone(),
     };
-    on_one_thread(async {
-        task::spawn_local(follow(path, sender, log.clone()));
-        gateway::run(&options, stop(&log)).await
+    run_on_one_thread(async {
+        task::spawn_local(watch_settings(path, sender, log.clone()));
+        gateway::run(&options, wait_for_stop(&log)).await
     })
 }
 
@@ -76,19 +76,19 @@
 ///
 /// # Errors
 ///
-/// The settings can't be used, or an address can't.
+/// The settings can't be read or are invalid, or an address can't be bound.
 pub fn run_sidecar(options: &RunSidecarOptions<'_>) -> eyre::Result<()> {
     let log = make_log(options.log_level)?;
     let path = file::path()?;
     let settings = file::read(&path)?;
     let engine = file::engine(&settings)?;
-    // A sidecar uses nothing that may change while it runs; following the file
-    // says so in the log, and keeps SIGHUP from ending the process.
+    // No setting of a sidecar can change while it runs. Watching the file still logs changes,
+    // and keeps SIGHUP from ending the process.
     let (sender, _reloaded) = watch::channel(settings.clone());
     let options = SidecarOptions { settings, engine, log: log.clone() };
-    on_one_thread(async {
-        task::spawn_local(follow(path, sender, log.clone()));
-        sidecar::run(&options, stop(&log)).await
+    run_on_one_thread(async {
+        task::spawn_local(watch_settings(path, sender, log.clone()));
+        sidecar::run(&options, wait_for_stop(&log)).await
     })
 }
 
@@ -100,42 +100,43 @@
     Ok(log::make(Format::JsonOut, level))
 }
 
-/// Everything shares one thread: an instance has a part of one core.
-fn on_one_thread(run: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
+/// Runs a future and its local tasks on the current thread: an instance has a share of one
+/// core.
+fn run_on_one_thread(future: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, run)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-async fn stop(log: &Logger) {
+async fn wait_for_stop(log: &Logger) {
     let mut terminate = match signal(SignalKind::terminate()) {
         Ok(signal) => signal,
         Err(error) => {
-            slog::error!(log, "no signals; the process ends only by force"; "error" => %error);
+            slog::error!(log, "can't receive SIGTERM; the process stops only when killed"; "error" => %error);
             return future::pending().await;
         }
     };
     terminate.recv().await;
-    info!(log, "asked to stop"; "signal" => "SIGTERM");
+    info!(log, "signal received; stopping"; "signal" => "SIGTERM");
 }
 
-/// Reads the settings file again on SIGHUP, and when it has changed. A file that
-/// can't be used changes nothing.
-async fn follow(path: PathBuf, sender: watch::Sender<Settings>, log: Logger) {
+/// Reads the settings file again on SIGHUP, and when its modification time has changed. The old
+/// settings stay in use if the file is invalid.
+async fn watch_settings(path: PathBuf, sender: watch::Sender<Settings>, log: Logger) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(signal) => signal,
         Err(error) => {
-            warn!(log, "no signals; settings are not read again"; "error" => %error);
+            warn!(log, "can't receive SIGHUP; settings will not be reloaded"; "error" => %error);
             return;
         }
     };
-    let mut read_at = modified(&path);
+    let mut last_modified = modified_at(&path);
     loop {
-        let told = time::timeout(FILE_LOOKED_AT, hangup.recv()).await.is_ok();
-        let now = modified(&path);
-        if !told && now == read_at {
+        let is_signalled = time::timeout(FILE_POLL_INTERVAL, hangup.recv()).await.is_ok();
+        let now = modified_at(&path);
+        if !is_signalled && now == last_modified {
             continue;
         }
-        read_at = now;
+        last_modified = now;
         match file::read(&path) {
             Ok(settings) => {
                 let changed = sender.send_if_modified(|old| {
@@ -143,13 +144,15 @@
                     *old = settings;
                     changed
                 });
-                info!(log, "settings read again"; "changed" => changed, "signal" => told);
+                info!(log, "settings reloaded"; "changed" => changed, "signal" => is_signalled);
+            }
+            Err(error) => {
+                warn!(log, "settings not reloaded; the old ones stay in use"; "error" => %error);
             }
-            Err(error) => warn!(log, "settings not read again"; "error" => %error),
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn modified_at(path: &Path) -> Option<SystemTime> {
     path.metadata().and_then(|meta| meta.modified()).ok()
 }
--- a/src/mastweir/ops/mod.rs
+++ b/src/mastweir/ops/mod.rs
@@ -1,4 +1,5 @@
-//! What operators do, one operation a module, each with its `…Options`.
+//! Operations behind the command line programs: running the daemons, editing the table, and
+//! querying entry instances and logs. Each operation takes its settings as an options struct.
 
 pub mod daemon;
 pub mod drain;
--- a/src/mastweir/ops/status.rs
+++ b/src/mastweir/ops/status.rs
@@ -1,41 +1,40 @@
-//! The fleet as its entries see it.
+//! Collects the status of all entry instances, which describes the fleet as each of them sees
+//! it.
 
 use super::EntryClient;
 use crate::entry::EntryStatus;
 use serde::Serialize;
 
-/// How to ask for a status.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusOptions<'a> {
-    /// Base addresses of entries.
+    /// Base addresses of entry instances.
     pub entries: &'a [String],
     /// The operators' key.
     pub operator_key: &'a str,
 }
 
-/// What entries answered.
+/// Status of the entry instances.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetStatus {
-    /// Those that answered.
+    /// Status of each instance that answered.
     pub entries: Vec<EntryStatus>,
-    /// Those that did not, and why.
+    /// Instances that did not answer.
     pub unreachable: Vec<Unreachable>,
 }
 
-/// An entry that did not answer.
+/// Entry instance that did not answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct Unreachable {
-    /// Its base address.
+    /// Base address of the instance.
     pub entry: String,
-    /// Why.
     pub error: String,
 }
 
-/// Asks all entries.
+/// Queries all entry instances.
 ///
 /// # Errors
 ///
-/// No entry was named.
+/// `options.entries` is empty.
 pub async fn status(options: &StatusOptions<'_>) -> eyre::Result<FleetStatus> {
     let client = EntryClient::new(options.entries, options.operator_key)?;
     let mut fleet = FleetStatus { entries: Vec::new(), unreachable: Vec::new() };
--- a/tests/testsuite/cli.rs
+++ b/tests/testsuite/cli.rs
@@ -1,4 +1,4 @@
-//! The tool and the daemon as a person meets them: messages and exit codes.
+//! Guards the messages and exit codes of the command line programs `mastweir` and `mastweird`.
 
 use googletest::prelude::*;
 use mastweir_core::table::{Row, RowKey, RowKind, hash_key};
@@ -16,21 +16,21 @@
 const TOOL: &str = env!("CARGO_BIN_EXE_mastweir");
 const DAEMON: &str = env!("CARGO_BIN_EXE_mastweird");
 
-/// Starts a program without handing other tests' ports to it.
+/// Starts a program that does not inherit other tests' sockets.
 fn start(command: &mut Command) -> io::Result<Child> {
     let _forking = forks();
     command.spawn()
 }
 
-/// Exit code and what was printed, without the parts that differ by run.
+/// Runs a program, and returns its exit code and output.
 async fn run(program: &str, args: &[&str]) -> String {
     let (program, args): (String, Vec<String>) =
         (program.to_owned(), args.iter().map(|arg| (*arg).to_owned()).collect());
     let running = tokio::task::spawn_blocking(move || {
         let mut command = Command::new(program);
-        // Whoever runs the tests may have settings of their own.
-        let own = std::env::vars().filter(|(name, _)| name.starts_with("MASTWEIR_"));
-        own.for_each(|(name, _)| {
+        // Settings in the environment of the test run don't apply.
+        let inherited = std::env::vars().filter(|(name, _)| name.starts_with("MASTWEIR_"));
+        inherited.for_each(|(name, _)| {
             command.env_remove(name);
         });
         command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn bad_settings_name_the_flag_and_the_remedy() {
+async fn invalid_settings_name_the_flag_and_a_remedy() {
     let base = [
         "entry",
         "--name",
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn rows_are_set_listed_and_refused_with_the_remedy() -> eyre::Result<()> {
+async fn rows_are_set_exported_and_rejected_with_a_remedy() -> eyre::Result<()> {
     let platform = Platform::new();
     let url = platform.serve(0).await?.url();
     put_row(&platform, "quaystep", &customer("quaystep", 1.0));
@@ -87,15 +87,14 @@
 }
 
 #[tokio::test]
-async fn bad_sheet_is_refused_whole() -> eyre::Result<()> {
+async fn invalid_csv_changes_no_row() -> eyre::Result<()> {
     let platform = Platform::new();
     let url = platform.serve(0).await?.url();
     let hash = hash_key("k");
     let header = "name,weight,inflight,units_s,burst,queue,largest,key_hash";
-    let sheet =
-        format!("{header}\na,1,5,100,100,10,1000,{hash}\nb,many,5,100,100,10,1000,{hash}\n");
-    let file = std::env::temp_dir().join(format!("mastweir-sheet-{}.csv", std::process::id()));
-    std::fs::write(&file, sheet)?;
+    let csv = format!("{header}\na,1,5,100,100,10,1000,{hash}\nb,many,5,100,100,10,1000,{hash}\n");
+    let file = std::env::temp_dir().join(format!("mastweir-csv-{}.csv", std::process::id()));
+    std::fs::write(&file, csv)?;
     let name = file.to_string_lossy().into_owned();
     let text = run(TOOL, &["table", "--platform", &url, "import", &name]).await;
     std::fs::remove_file(&file)?;
@@ -106,11 +105,11 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_who_race_one_is_told_what_changed() -> eyre::Result<()> {
+async fn concurrent_write_is_rejected_with_the_difference() -> eyre::Result<()> {
     let platform = Platform::new();
     let url = platform.serve(0).await?.url();
     put_row(&platform, "quaystep", &customer("quaystep", 1.0));
-    // Slow enough that both read before either writes.
+    // Replies are so slow that both operators read before either writes.
     platform.faults.slow_ms.store(300, Ordering::Relaxed);
     let set = |operator: &'static str, change: &'static str| {
         let url = url.clone();
@@ -122,8 +121,8 @@
     };
     let (a, b) = tokio::join!(set("ada", "weight=2"), set("bob", "weight=5"));
     let accepted = [&a, &b].iter().filter(|text| text.starts_with("exit Some(0)")).count();
-    let told = [&a, &b].iter().filter(|text| text.contains("has changed it since")).count();
-    assert_that!((accepted, told), eq((1, 1)), "{a}{b}");
+    let rejected = [&a, &b].iter().filter(|text| text.contains("has changed it since")).count();
+    assert_that!((accepted, rejected), eq((1, 1)), "{a}{b}");
     Ok(())
 }
 
@@ -179,7 +178,7 @@
     Ok(())
 }
 
-/// Every flag of the daemon stands in the operators' settings page.
+/// Guards against flags of the daemon that the settings pages do not document.
 #[tokio::test]
 async fn settings_page_names_every_flag() {
     let own = include_str!("../../docs/operators/settings.md");
@@ -193,7 +192,7 @@
     }
 }
 
-/// Found by doing what the README says: `argh` took `-` for a flag.
+/// Guards against `-` being parsed as a flag.
 #[tokio::test]
 async fn dash_reads_standard_input() -> eyre::Result<()> {
     let hash = tokio::task::spawn_blocking(|| {
@@ -211,13 +210,13 @@
     Ok(())
 }
 
-/// Found by doing what the README says: variables were put behind the command
-/// of the command, which does not know their flags.
+/// Guards against flags from environment variables after a nested subcommand, which does not
+/// know them.
 #[test]
-fn variables_stand_behind_the_first_command() {
-    let words = ["table", "add", "quaystep"].map(str::to_owned).to_vec();
+fn variables_become_flags_of_the_first_subcommand() {
+    let args = ["table", "add", "quaystep"].map(str::to_owned).to_vec();
     let vars = [("MASTWEIR_PLATFORM".to_owned(), "http://127.0.0.1:1".to_owned())].into();
-    let words = mastweir::util::settings::with_variables(words, &vars, &["platform", "token"]);
-    let wanted = ["table", "--platform", "http://127.0.0.1:1", "add", "quaystep"];
-    assert_eq!(words, wanted);
+    let args = mastweir::util::settings::with_variables(args, &vars, &["platform", "token"]);
+    let expected = ["table", "--platform", "http://127.0.0.1:1", "add", "quaystep"];
+    assert_eq!(args, expected);
 }
