--- a/src/bin/mastweir/commands/check.rs
+++ b/src/bin/mastweir/commands/check.rs
@@ -1,4 +1,4 @@
-//! `mastweir check`: a sheet of rows, without connecting to anything.
+//! `mastweir check`: validates a CSV file of customers without connecting to anything.
 
 use super::{EXIT_DONE, table::read_input};
 use argh::FromArgs;
@@ -13,7 +13,7 @@
     sheet: String,
 }
 
-/// Runs it.
+/// Runs `mastweir check`, and returns its exit code.
 pub fn exec(args: &Args) -> eyre::Result<i32> {
     let text = read_input(&args.sheet)?;
     let lines = mastweir::ops::table::parse_csv(&text)?;
--- a/src/bin/mastweir/commands/drain.rs
+++ b/src/bin/mastweir/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `mastweir drain` and `mastweir undrain`.
+//! `mastweir drain` and `mastweir undrain`: take a server out of service, and back.
 
 use super::{EXIT_DONE, table_options};
 use argh::FromArgs;
@@ -49,7 +49,7 @@
     dry_run: bool,
 }
 
-/// Runs `drain`.
+/// Runs `mastweir drain`, and returns its exit code.
 pub async fn exec(args: &DrainArgs) -> eyre::Result<i32> {
     let table = table_options(&args.platform, &args.token, &args.operator, args.dry_run);
     let options = DrainOptions { table, server: &args.server, reason: &args.reason };
@@ -58,7 +58,7 @@
     Ok(EXIT_DONE)
 }
 
-/// Runs `undrain`.
+/// Runs `mastweir undrain`, and returns its exit code.
 pub async fn exec_undrain(args: &UndrainArgs) -> eyre::Result<i32> {
     let table = table_options(&args.platform, &args.token, &args.operator, args.dry_run);
     undrain(&DrainOptions { table, server: &args.server, reason: "" }).await?;
--- a/src/bin/mastweir/commands/explain.rs
+++ b/src/bin/mastweir/commands/explain.rs
@@ -1,4 +1,5 @@
-//! `mastweir explain`.
+//! `mastweir explain`: explains a request by logs, or by the decisions that entry instances have
+//! recorded.
 
 use super::{EXIT_DONE, print_json};
 use argh::FromArgs;
@@ -33,7 +34,7 @@
     json: bool,
 }
 
-/// Runs it.
+/// Runs `mastweir explain`, and returns its exit code.
 pub async fn exec(args: &Args) -> eyre::Result<i32> {
     if args.entry.is_empty() { from_logs(args) } else { from_entries(args).await }
 }
--- a/src/bin/mastweir/commands/key.rs
+++ b/src/bin/mastweir/commands/key.rs
@@ -1,4 +1,4 @@
-//! `mastweir key`: keys and their hashes.
+//! `mastweir key`: prints the hash of a key.
 
 use super::EXIT_DONE;
 use argh::FromArgs;
@@ -29,7 +29,7 @@
     key: String,
 }
 
-/// Runs it.
+/// Runs `mastweir key`, and returns its exit code.
 pub fn exec(args: &Args) -> eyre::Result<i32> {
     let Command::Hash(args) = &args.command;
     let key = if args.key == STDIN {
--- a/src/bin/mastweir/commands/mod.rs
+++ b/src/bin/mastweir/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The tool's commands, one a file.
+//! Subcommands of the operators' tool, one module each, and what they share.
 
 pub mod check;
 pub mod drain;
@@ -12,30 +12,30 @@
 use serde::Serialize;
 use std::env;
 
-/// All went well.
+/// Exit code of success.
 pub const EXIT_DONE: i32 = 0;
-/// Not in force everywhere, or something can't be reached.
+/// Exit code if an instance does not answer or does not use a version of the table yet.
 pub const EXIT_PARTIAL: i32 = 3;
 
 const ENTRY_FLAGS: [&str; 2] = ["entry", "operator-key"];
 const TABLE_FLAGS: [&str; 3] = ["platform", "token", "operator"];
 
-/// Flags that may come from variables, for the command that was asked for.
+/// Returns the flags of the requested command that environment variables can set; none for help.
 pub fn flags() -> Vec<&'static str> {
-    let words: Vec<String> = env::args().skip(1).collect();
-    if words.iter().any(|word| word == "--help" || word == "help") {
+    let args: Vec<String> = env::args().skip(1).collect();
+    if args.iter().any(|arg| arg == "--help" || arg == "help") {
         return Vec::new();
     }
-    match words.first().map(String::as_str) {
+    match args.first().map(String::as_str) {
         Some("status" | "explain") => ENTRY_FLAGS.to_vec(),
         Some("drain" | "undrain") => TABLE_FLAGS.to_vec(),
-        Some("table") if words.iter().any(|word| word == "wait") => ENTRY_FLAGS.to_vec(),
+        Some("table") if args.iter().any(|arg| arg == "wait") => ENTRY_FLAGS.to_vec(),
         Some("table") => TABLE_FLAGS.to_vec(),
         _ => Vec::new(),
     }
 }
 
-/// How a command reaches the table.
+/// Combines the flags of a command that accesses the table.
 pub fn table_options<'a>(
     platform: &'a str,
     token: &'a str,
@@ -45,7 +45,7 @@
     TableOptions { platform, token, operator, dry_run }
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn print_json<T: Serialize>(value: &T) -> eyre::Result<()> {
     println!("{}", serde_json::to_string_pretty(value)?);
     Ok(())
--- a/src/bin/mastweir/commands/report.rs
+++ b/src/bin/mastweir/commands/report.rs
@@ -1,4 +1,4 @@
-//! `mastweir report`.
+//! `mastweir report`: summarizes logs as tables, JSON or an SVG chart.
 
 use super::{EXIT_DONE, print_json};
 use argh::FromArgs;
@@ -12,9 +12,9 @@
     path::PathBuf,
 };
 
-/// Rows of a table that are shown, the largest first.
-const ROWS_SHOWN: usize = 12;
-/// The picture's name in the folder that is given.
+/// Most rows printed of each table, the largest first.
+const MAX_ROWS: usize = 12;
+/// File name of the chart.
 const PLOT_FILE: &str = "report.svg";
 
 /// Sum up logs: how requests ended, and what the losses were for.
@@ -36,10 +36,10 @@
     json: bool,
 }
 
-/// Runs it.
+/// Runs `mastweir report`, and returns its exit code.
 pub fn exec(args: &Args) -> eyre::Result<i32> {
-    let shown = io::stderr().is_terminal();
-    let progress: Option<fn(u64)> = shown.then_some(|lines| eprint!("\r{lines} lines"));
+    let is_interactive = io::stderr().is_terminal();
+    let progress: Option<fn(u64)> = is_interactive.then_some(|lines| eprint!("\r{lines} lines"));
     let report = report(ReportOptions { files: &args.files, progress })?;
     if let Some(folder) = &args.out {
         fs::create_dir_all(folder).wrap_err_with(|| format!("making {}", folder.display()))?;
@@ -76,13 +76,13 @@
         total.orders_lost,
     ]);
     println!("{table}");
-    let parts = [
+    let tables = [
         ("lost for", &report.causes),
         ("lost on route", &report.routes),
         ("lost at instance", &report.instances),
         ("events", &report.events),
     ];
-    for (title, rows) in parts {
+    for (title, rows) in tables {
         print_rows(title, rows);
     }
     println!("\n{} lines read, {} of them malformed", report.lines, report.malformed);
@@ -94,8 +94,8 @@
     let mut table = Table::new();
     table.load_preset(NOTHING);
     table.set_header([title, "count"]);
-    let rest = rows.len().saturating_sub(ROWS_SHOWN);
-    rows.iter().take(ROWS_SHOWN).for_each(|(name, count)| {
+    let rest = rows.len().saturating_sub(MAX_ROWS);
+    rows.iter().take(MAX_ROWS).for_each(|(name, count)| {
         table.add_row([(*name).clone(), count.to_string()]);
     });
     println!("\n{table}");
--- a/src/bin/mastweir/commands/status.rs
+++ b/src/bin/mastweir/commands/status.rs
@@ -1,4 +1,4 @@
-//! `mastweir status`.
+//! `mastweir status`: prints the state of the fleet as each entry instance sees it.
 
 use super::{EXIT_DONE, EXIT_PARTIAL, print_json};
 use argh::FromArgs;
@@ -22,7 +22,7 @@
     json: bool,
 }
 
-/// Runs it.
+/// Runs `mastweir status`, and returns its exit code.
 pub async fn exec(args: &Args) -> eyre::Result<i32> {
     let options = StatusOptions { entries: &args.entry, operator_key: &args.operator_key };
     let fleet = status(&options).await?;
--- a/src/bin/mastweir/commands/table.rs
+++ b/src/bin/mastweir/commands/table.rs
@@ -1,4 +1,4 @@
-//! `mastweir table`: the rows, edited much as in a spreadsheet.
+//! `mastweir table`: reads and edits the rows of the table, one at a time or as CSV.
 
 use super::{EXIT_DONE, EXIT_PARTIAL, print_json, table_options};
 use argh::FromArgs;
@@ -141,7 +141,7 @@
     seconds: u64,
 }
 
-/// Runs it.
+/// Runs `mastweir table`, and returns its exit code.
 pub async fn exec(args: &Args) -> eyre::Result<i32> {
     let options = table_options(&args.platform, &args.token, &args.operator, args.dry_run);
     match &args.command {
@@ -167,12 +167,12 @@
             let options = TableOptions { dry_run: true, ..options };
             print_all(&table::import(&options, &text).await?);
         }
-        Command::Wait(wait) => return wait_in_force(args, wait).await,
+        Command::Wait(wait) => return wait_for_rollout(args, wait).await,
     }
     Ok(EXIT_DONE)
 }
 
-/// The text of a file, or of standard input.
+/// Reads a file, or standard input for `-`.
 pub fn read_input(file: &str) -> eyre::Result<String> {
     if file == STDIN {
         return Ok(io::read_to_string(io::stdin())?);
@@ -188,13 +188,13 @@
     Ok(())
 }
 
-async fn wait_in_force(args: &Args, wait: &WaitArgs) -> eyre::Result<i32> {
+async fn wait_for_rollout(args: &Args, wait: &WaitArgs) -> eyre::Result<i32> {
     let client = EntryClient::new(&args.entry, &args.operator_key)?;
     let limit = Duration::from_secs(wait.seconds);
-    let seen = table::wait(&client, wait.version, limit).await?;
-    print_json(&seen)?;
-    let whole = seen.behind.is_empty() && seen.unreachable.is_empty();
-    Ok(if whole { EXIT_DONE } else { EXIT_PARTIAL })
+    let rollout = table::wait(&client, wait.version, limit).await?;
+    print_json(&rollout)?;
+    let is_complete = rollout.behind.is_empty() && rollout.unreachable.is_empty();
+    Ok(if is_complete { EXIT_DONE } else { EXIT_PARTIAL })
 }
 
 fn print_all(accepted: &[Accepted]) {
--- a/src/bin/mastweir/main.rs
+++ b/src/bin/mastweir/main.rs
@@ -1,4 +1,5 @@
-//! The operators' tool.
+//! The command line tool `mastweir` for operators: edits the table, drains servers, shows the
+//! state of the fleet and analyzes logs.
 
 mod commands;
 
--- a/src/bin/mastweird/commands/agent.rs
+++ b/src/bin/mastweird/commands/agent.rs
@@ -1,9 +1,9 @@
-//! `mastweird agent`: in a server's slot.
+//! `mastweird agent`: runs an agent, which queues requests for a server's engine.
 
 use argh::FromArgs;
 use mastweir::ops::daemon::{CommonOptions, RunAgentOptions, run_agent};
 
-/// Flags of this command alone.
+/// Flags of this role besides the common ones.
 pub const FLAGS: [&str; 6] = ["listen", "engine", "services", "slots", "queue", "group"];
 
 /// Run the agent in a server's slot: queues requests and runs them there.
@@ -57,7 +57,7 @@
     log_level: String,
 }
 
-/// Runs it until it is told to stop.
+/// Runs an agent until SIGTERM or SIGINT.
 pub async fn exec(args: &Args) -> eyre::Result<()> {
     run_agent(&RunAgentOptions {
         common: CommonOptions {
--- a/src/bin/mastweird/commands/entry.rs
+++ b/src/bin/mastweird/commands/entry.rs
@@ -1,9 +1,9 @@
-//! `mastweird entry`: between callers and agents.
+//! `mastweird entry`: runs an entry instance, which routes callers' requests to agents.
 
 use argh::FromArgs;
 use mastweir::ops::daemon::{CommonOptions, RunEntryOptions, run_entry};
 
-/// Flags of this command alone.
+/// Flags of this role besides the common ones.
 pub const FLAGS: [&str; 4] = ["listen", "http", "operator-key-hash", "seed"];
 
 /// Run an entry instance: takes callers' requests and routes them to servers.
@@ -51,7 +51,7 @@
     log_level: String,
 }
 
-/// Runs it until it is told to stop.
+/// Runs an entry instance until SIGTERM or SIGINT.
 pub async fn exec(args: &Args) -> eyre::Result<()> {
     run_entry(&RunEntryOptions {
         common: CommonOptions {
--- a/src/bin/mastweird/commands/gateway.rs
+++ b/src/bin/mastweird/commands/gateway.rs
@@ -1,9 +1,10 @@
-//! `mastweird gateway`: passes requests through, on the users' platform.
+//! `mastweird gateway`: runs a gateway on the users' platform, which forwards callers' requests to
+//! model servers.
 
 use argh::FromArgs;
 use mastweir::ops::gateway::{RunGatewayOptions, run_gateway};
 
-/// Flags of this command alone.
+/// Flags of this role.
 pub const FLAGS: [&str; 3] = ["metrics-port", "seed", "log-level"];
 
 /// Run a gateway: passes requests through to servers, as the settings file says.
@@ -21,7 +22,7 @@
     log_level: String,
 }
 
-/// Runs it until it is told to stop.
+/// Runs a gateway until SIGTERM.
 pub fn exec(args: &Args) -> eyre::Result<()> {
     run_gateway(&RunGatewayOptions {
         metrics_port: args.metrics_port,
--- a/src/bin/mastweird/commands/mod.rs
+++ b/src/bin/mastweird/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's commands, one a role.
+//! Subcommands of the daemon, one module for each role.
 
 pub mod agent;
 pub mod entry;
@@ -7,20 +7,20 @@
 
 use std::env;
 
-const COMMON: [&str; 9] =
+const COMMON_FLAGS: [&str; 9] =
     ["name", "hall", "secret", "platform", "token", "statsd", "log", "log-level", "grace-s"];
 
-/// Flags that may come from variables, for the role that was asked for.
+/// Returns the flags of the requested role that environment variables can set; none for `--help`.
 pub fn flags() -> Vec<&'static str> {
     let (common, own): (&[&str], &[&str]) = match env::args().nth(1).as_deref() {
-        Some("entry") => (&COMMON, &entry::FLAGS),
-        Some("agent") => (&COMMON, &agent::FLAGS),
+        Some("entry") => (&COMMON_FLAGS, &entry::FLAGS),
+        Some("agent") => (&COMMON_FLAGS, &agent::FLAGS),
         Some("gateway") => (&[], &gateway::FLAGS),
         Some("sidecar") => (&[], &sidecar::FLAGS),
         _ => return Vec::new(),
     };
-    // `--help` is answered without the settings.
-    if env::args().any(|word| word == "--help" || word == "help") {
+    // Help does not depend on environment variables.
+    if env::args().any(|arg| arg == "--help" || arg == "help") {
         return Vec::new();
     }
     common.iter().chain(own).copied().collect()
--- a/src/bin/mastweird/commands/sidecar.rs
+++ b/src/bin/mastweird/commands/sidecar.rs
@@ -1,9 +1,9 @@
-//! `mastweird sidecar`: beside a model server, on the users' platform.
+//! `mastweird sidecar`: runs the sidecar of a model server on the users' platform.
 
 use argh::FromArgs;
 use mastweir::ops::gateway::{RunSidecarOptions, run_sidecar};
 
-/// Flags of this command alone.
+/// Flags of this role.
 pub const FLAGS: [&str; 1] = ["log-level"];
 
 /// Run a sidecar: reports a model server's load, and keeps its group's expert map.
@@ -15,7 +15,7 @@
     log_level: String,
 }
 
-/// Runs it until it is told to stop.
+/// Runs a sidecar until SIGTERM.
 pub fn exec(args: &Args) -> eyre::Result<()> {
     run_sidecar(&RunSidecarOptions { log_level: &args.log_level })
 }
--- a/src/bin/mastweird/main.rs
+++ b/src/bin/mastweird/main.rs
@@ -1,4 +1,5 @@
-//! The daemon: one role of a process, by its first argument.
+//! The daemon `mastweird`: runs as an entry instance, agent, gateway or sidecar, chosen by its
+//! subcommand. Entry instances and agents use a thread pool; gateways and sidecars one thread.
 
 mod commands;
 
@@ -27,8 +28,8 @@
 fn main() {
     let args: Args = settings::read("mastweird", &commands::flags());
     let result = match args.command {
-        Command::Entry(args) => on_all_threads(entry::exec(&args)),
-        Command::Agent(args) => on_all_threads(agent::exec(&args)),
+        Command::Entry(args) => run_on_thread_pool(entry::exec(&args)),
+        Command::Agent(args) => run_on_thread_pool(agent::exec(&args)),
         Command::Gateway(args) => gateway::exec(&args),
         Command::Sidecar(args) => sidecar::exec(&args),
     };
@@ -37,6 +38,6 @@
     }
 }
 
-fn on_all_threads(run: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
-    tokio::runtime::Runtime::new()?.block_on(run)
+fn run_on_thread_pool(future: impl Future<Output = eyre::Result<()>>) -> eyre::Result<()> {
+    tokio::runtime::Runtime::new()?.block_on(future)
 }
