--- a/src/mastweir/agent/runner.rs
+++ b/src/mastweir/agent/runner.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// Runs a request in the engine. If the answer breaks off, probes whether the engine crashed: the
-/// entry quarantines a request that crashes engines.
+/// Runs a request in the engine. If the answer breaks off, probes whether the engine crashed, as
+/// entries quarantine requests under which engines crash.
 async fn run_in_engine(shared: &Shared, job: &Job) -> AnswerEnd {
     let on_backoff = |wait: Duration| {
         slog::info!(shared.context.log, "engine requested a backoff; rejecting requests until it ends";
--- a/src/mastweir/entry/attempt.rs
+++ b/src/mastweir/entry/attempt.rs
@@ -30,7 +30,7 @@
     pub head: Option<(u16, Option<String>)>,
     /// Cost of the request, at the end of the answer.
     pub cost: Option<RequestCost>,
-    /// Identity of the engine incarnation that crashed while it ran the request.
+    /// Identifies the incarnation of the engine that crashed while it ran the request.
     pub crashed_engine: Option<Fingerprint>,
 }
 
@@ -68,7 +68,8 @@
 
     /// Cancels the request at the agent and closes the channel.
     pub async fn cancel(mut self) {
-        // If sending fails, the lost connection cancels the request.
+        // If sending fails, the agent sees the lost connection, and withdraws the request unless
+        // it is an at-most-once operation that is running.
         let _ = self.channel.sender.send(&ToAgent::Cancel).await;
     }
 
@@ -101,7 +102,7 @@
             FromAgent::EngineCrashed(load) => {
                 self.record_load(shared, &load);
                 // Engines have no incarnation number. The agent's incarnation and the time of
-                // the crash identify the one that crashed.
+                // the crash identify the incarnation that crashed.
                 let engine = format!("{} {} {}", self.server, load.incarnation.0, load.uptime.0);
                 AttemptEvent {
                     crashed_engine: Some(Fingerprint::of_incarnation(&engine)),
--- a/src/mastweir/entry/groups.rs
+++ b/src/mastweir/entry/groups.rs
@@ -33,7 +33,7 @@
 /// Time between scans for groups to coordinate.
 const SCAN_PERIOD: Duration = Duration::from_secs(1);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which a map change that has granted nothing is aborted.
+/// Time after which a map change is aborted if no rank has been granted the new map.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The map of a new group.
 const INITIAL_MAP: MapVersion = MapVersion(1);
@@ -198,8 +198,8 @@
         !self.coordinator.as_ref().is_some_and(steady)
     }
 
-    /// Starts sealing if the reports of servers show that a rank was replaced. The group is
-    /// stalled until all ranks, including the new one, have been sealed.
+    /// Starts sealing if the reports of servers show that a rank was replaced: all ranks report
+    /// their states again, and the new rank gets a grant. Until then the group is stalled.
     fn detect_replaced_ranks(&mut self) {
         let incarnations = lock(&self.shared.view).rank_incarnations(&self.group);
         let changed = |(name, incarnation): (&String, &u64)| {
--- a/src/mastweir/entry/http.rs
+++ b/src/mastweir/entry/http.rs
@@ -49,7 +49,7 @@
 /// Characters of a prompt that are hashed as its prefix.
 const PREFIX_LEN: usize = 512;
 /// Bytes of text per model token, to estimate the length of a prompt.
-const CHARS_PER_TOKEN: usize = 4;
+const BYTES_PER_TOKEN: usize = 4;
 /// Assumed model tokens of an answer if the request has no `max_tokens`.
 const MAX_TOKENS_DEFAULT: u64 = 256;
 const PROBLEM_JSON: &str = "application/problem+json";
@@ -238,7 +238,7 @@
     }
 }
 
-/// What the path and body of a request state.
+/// Properties of a request, by its path and body.
 struct RequestInfo {
     kind: ServiceKind,
     service: String,
@@ -248,7 +248,7 @@
     prefix_hash: Option<u64>,
 }
 
-/// The fields of a model request that are used here.
+/// The fields of a model request that the entry reads.
 #[derive(Debug, Deserialize)]
 struct ModelBody {
     model: String,
@@ -284,13 +284,13 @@
             kind: ServiceKind::Model,
             service: body.model,
             stream: body.stream,
-            prompt_tokens: (text.len() / CHARS_PER_TOKEN) as u64,
+            prompt_tokens: (text.len() / BYTES_PER_TOKEN) as u64,
             max_tokens: body.max_tokens.unwrap_or(MAX_TOKENS_DEFAULT),
             prefix_hash: hash,
         })
     }
 
-    /// Returns the estimated units of the prompt, and of the whole request.
+    /// Returns the estimated service units of the prompt, and of the whole request.
     fn units(&self, service: &Service) -> (u32, u32) {
         let cost = service.cost;
         (cost.units(self.prompt_tokens, 0), cost.units(self.prompt_tokens, self.max_tokens))
--- a/src/mastweir/entry/keys.rs
+++ b/src/mastweir/entry/keys.rs
@@ -135,15 +135,15 @@
     let name = op.to_string();
     let (bindings, chosen) = choose_bindings(shared, request, KEY_LIFETIME)?;
     let spec = KeySpec { service: request.service_name.clone(), bindings };
-    let written = random_op().to_string();
-    let object = Object::new(&name, &shared.context.name, &written, spec);
+    let write_id = random_op().to_string();
+    let object = Object::new(&name, &shared.context.name, &write_id, spec);
     match shared.context.objects.create(Collection::Keys, &object).await {
         Ok(object) => Ok(from_created(op, object, chosen)),
         Err(ObjectError::Exists(_)) => from_existing(shared, op, &name).await,
         Err(error) if error.is_outcome_unknown() => {
             let object = read_key(shared, &name).await?;
-            // The reply was lost. The object names the write that created it.
-            if object.written.operation == written {
+            // The reply was lost. The object states the id of the write that created it.
+            if object.written.operation == write_id {
                 return Ok(from_created(op, object, chosen));
             }
             from_existing(shared, op, &name).await
--- a/src/mastweir/entry/parsed_request.rs
+++ b/src/mastweir/entry/parsed_request.rs
@@ -25,9 +25,9 @@
     pub streamed: bool,
     /// Idempotency key. `None` if the caller sent none or the service is repeatable.
     pub key: Option<String>,
-    /// Estimated units of the prompt.
+    /// Estimated service units of the prompt.
     pub prefill: u32,
-    /// Estimated units of the whole request.
+    /// Estimated service units of the whole request.
     pub cost: u32,
     /// Hash of the first part of the prompt, for affinity; `None` except for models.
     pub prefix_hash: Option<u64>,
--- a/src/mastweir/entry/status.rs
+++ b/src/mastweir/entry/status.rs
@@ -35,9 +35,9 @@
     pub weight: f64,
     /// Its weight in percent of the sum of all weights.
     pub promised_pct: f64,
-    /// Units per second that it requests at this entry.
+    /// Service units per second that it requests at this entry.
     pub own_rate: u64,
-    /// Units per second that it requests fleet-wide, by the last total received.
+    /// Service units per second that it requests fleet-wide, by the last total received.
     pub fleet_rate: u64,
     /// Fraction of its requests that is admitted, in 0..=1.
     pub chance: f64,
--- a/src/mastweir/entry/table.rs
+++ b/src/mastweir/entry/table.rs
@@ -307,7 +307,7 @@
     chunks.into_iter().enumerate().map(frame).collect()
 }
 
-/// Returns whether this entry's table is behind a peer's, by the peer's digest.
+/// Returns whether this entry's table is older than that of a peer with the given digest.
 pub fn is_behind(shared: &Shared, digest: Digest) -> bool {
     digest > lock(&shared.table).digest()
 }
--- a/src/mastweir/entry/usage.rs
+++ b/src/mastweir/entry/usage.rs
@@ -1,10 +1,11 @@
 //! Exchange of customers' usage between entries, for fair shares across the fleet.
 //!
 //! Once a period, each entry sends the service units that its customers requested to its parent
-//! in its hall's tree of entries. The leaders at the roots of these trees of the halls add up their halls' usage, exchange the sums, and send the fleet-wide
-//! total back down. [`AdmissionControl`] compares the total with the customers' weights and
-//! rejects requests of customers over their fair share while the servers are full. The period
-//! grows with the size of the messages, to limit the bandwidth of the exchange.
+//! in its hall's tree of entries. The leader of each hall, at the root of the tree, adds up the
+//! hall's usage, exchanges sums with the leaders of the other halls, and sends the fleet-wide total
+//! back down. [`AdmissionControl`] compares the total with the customers' weights and rejects
+//! requests of customers over their fair share while the servers are full. The period grows with
+//! the size of the messages, to limit the bandwidth of the exchange.
 //!
 //! The module also keeps track of when to renew subscriptions to the reports of agents.
 
