--- a/src/mastweir/gateway/attempt.rs
+++ b/src/mastweir/gateway/attempt.rs
@@ -22,15 +22,15 @@
 use std::{cell::Cell, rc::Rc, time::Duration};
 use tokio::time;
 
-/// Some round trips: a machine that is down does not answer at all.
+/// Several round trips. Short, as a machine that is down does not answer at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time between checks of a server that sends nothing. Callers give up a stream after
-/// two seconds.
+/// Longest time between checks of a server that sends nothing. Callers disconnect from a
+/// silent stream after two seconds.
 const STUCK_POLL_MAX: Duration = Duration::from_millis(300);
 const STUCK_POLL_MIN: Duration = Duration::from_millis(20);
 
-/// Sends of a request beyond the attempts of its route: sends after which the request has not run
-/// don't count as attempts.
+/// Maximum number of sends of a request beyond the attempts of its route. Sends after which the
+/// request has certainly not run don't count as attempts.
 const EXTRA_SENDS: u32 = 2;
 
 /// An answer whose head was read, with its unread body.
--- a/src/mastweir/gateway/call.rs
+++ b/src/mastweir/gateway/call.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns what an admitted request needs of a server. `tried` are servers to avoid,
-    /// `max_load` is the highest load of an acceptable server, over its slots.
+    /// `max_load` is the highest load of an acceptable server, as a fraction of its slots.
     pub fn requirements<'a>(&'a self, tried: &'a [String], max_load: f64) -> Requirements<'a> {
         let gap_ms = self.route().gap_ms as f64;
         Requirements { service: &self.service, tried, max_load, gap_ms, stream: None }
--- a/src/mastweir/gateway/fetch.rs
+++ b/src/mastweir/gateway/fetch.rs
@@ -14,10 +14,10 @@
 use slog::warn;
 use std::{net::IpAddr, rc::Rc, time::Duration};
 
-/// Enough for some hundred KB between halls.
+/// Enough to transfer a few hundred KB between halls.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Most quarantines that a starting gateway gets: some 80 bytes each.
+/// Maximum number of quarantines in an answer to a starting gateway, of about 80 bytes each.
 const QUARANTINES_MAX: usize = 4_096;
 
 /// Fetches the configuration and the servers from a gateway if its versions are newer, and its
--- a/src/mastweir/gateway/listen.rs
+++ b/src/mastweir/gateway/listen.rs
@@ -38,7 +38,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 /// Smallest buffer that the HTTP library accepts.
 const HEAD_BYTES_MIN: usize = 8_192;
-/// Most connections of callers; the other file descriptors are for servers.
+/// Maximum number of callers' connections; the other file descriptors are for servers.
 const CONNECTIONS_MAX: usize = 2_500;
 /// Pause after a failed `accept`, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
--- a/src/mastweir/gateway/message.rs
+++ b/src/mastweir/gateway/message.rs
@@ -63,7 +63,8 @@
 /// Asks for permits to send requests to servers that name a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestPermits {
-    /// Identifies the answer, also among those to a previous process of the gateway.
+    /// Number that the answer repeats. The first one is random, so that answers to a previous
+    /// process of the gateway don't match.
     pub number: u64,
     /// Ids of servers, and the number of permits wanted for each.
     pub wanted: Vec<(String, u32)>,
@@ -201,7 +202,7 @@
     pub state: RankState,
     /// Requests that run or wait there.
     pub load: u32,
-    /// Time per work over the usual, in thousandths.
+    /// Time for the same work as a multiple of the usual time, in thousandths.
     pub slowdown_milli: u32,
     /// Incarnation of the server; zero if the server does not state it.
     pub incarnation: u64,
@@ -246,7 +247,7 @@
 /// The servers of a group, fetched from a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupView {
-    /// Where they listen, and their halls.
+    /// Addresses of the servers, and their halls.
     pub servers: Vec<(SocketAddr, String)>,
     pub coordinator: Option<CoordinatorSeen>,
 }
--- a/src/mastweir/gateway/quarantine.rs
+++ b/src/mastweir/gateway/quarantine.rs
@@ -22,11 +22,11 @@
 const RETRY_FIRST: Duration = Duration::from_millis(500);
 const RETRY_MAX: Duration = Duration::from_secs(16);
 /// After the store was restored from a copy, watchers read it again at random times within
-/// this span, so that the first can write what the others then find.
+/// this span, so that the first one writes the missing quarantines and the others find them.
 const REREAD_SPREAD: Duration = Duration::from_secs(1);
-/// Most requests that are written again in one round; each takes a call.
+/// Maximum number of requests that are written again in one round; each takes a call.
 const REWRITES_MAX: usize = 256;
-/// Together some three minutes.
+/// With the pauses between them, the attempts take about three minutes.
 const WRITE_ATTEMPTS: u32 = 15;
 
 /// Merges reports of another gateway or of the store.
--- a/src/mastweir/gateway/server_notices.rs
+++ b/src/mastweir/gateway/server_notices.rs
@@ -86,7 +86,7 @@
         "now_per_s" => change.now.map(|rate| rate.requests()));
 }
 
-/// Logs that a server stated that it is leaving, whatever the store lists.
+/// Logs that a server stated that it is leaving. The store may list it as ready.
 pub fn log_leaving(gateway: &Gateway, id: &str, from: &'static str) {
     info!(gateway.log, "server leaves"; "server" => id, "from" => from);
 }
--- a/src/mastweir/gateway/state.rs
+++ b/src/mastweir/gateway/state.rs
@@ -88,13 +88,13 @@
     pub rng: RefCell<SmallRng>,
     /// The other gateways.
     pub gateways: RefCell<Peers>,
-    /// Coordinators by group, and when each was last heard of.
+    /// Coordinators by group, and when each was last heard from.
     pub coordinators: RefCell<HashMap<String, (CoordinatorSeen, Uptime)>>,
     /// Whether this gateway is a relay of its hall.
     pub is_relay: Cell<bool>,
     /// Whether this gateway watches the store.
     pub is_watcher: watch::Sender<bool>,
-    /// Notifies waiting requests of reports on servers and of requests that ended.
+    /// Notifies waiting requests of reports on servers, answers on permits and ended requests.
     pub server_changes: Notify,
     /// Requests under which servers crashed.
     pub suspects: RefCell<PoisonRequests>,
--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -32,12 +32,12 @@
 /// An answer to a caller.
 pub type Reply = Response<Either<Full<Bytes>, StreamReply>>;
 
-/// Highest load, over its slots, of a server that may resume a stream. Resumed streams have
-/// priority over new requests.
+/// Highest load, as a fraction of its slots, of a server that may resume a stream. Resumed streams
+/// have priority over new requests.
 const RESUME_MAX_LOAD: f64 = 2.5;
 
-/// Longest wait for a permit if only rate-limited servers could resume a stream. Callers leave
-/// two seconds after the last event.
+/// Longest wait for a permit if only rate-limited servers could resume a stream. Callers
+/// disconnect two seconds after the last event.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Reason for a failover: the server's connection broke.
@@ -236,7 +236,8 @@
         self.resume().await
     }
 
-    /// Continues the stream at another server after the last whole event.     /// was found that does so.
+    /// Continues the stream at another server after the last whole event. Returns whether a server
+    /// was found that does so.
     async fn resume(&mut self) -> bool {
         self.events.discard_partial();
         if !self.call.route().resumable {
@@ -249,8 +250,10 @@
             }
             let tried = &self.progress.tried;
             let until = self.gateway.clock.now() + RESUME_TIMEOUT.min(self.call.time_left());
-            let needs = self.call.requirements(tried, RESUME_MAX_LOAD);
-            let Ok(server) = choose_until(&self.gateway, needs, until).await else { return false };
+            let requirements = self.call.requirements(tried, RESUME_MAX_LOAD);
+            let Ok(server) = choose_until(&self.gateway, requirements, until).await else {
+                return false;
+            };
             let last = self.events.last_id().map(str::to_owned);
             let answered =
                 attempt(&self.gateway, &self.call, server, last.as_deref(), &mut self.progress);
--- a/src/mastweir/net/internal.rs
+++ b/src/mastweir/net/internal.rs
@@ -12,8 +12,8 @@
 use std::{convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
 use tokio::{net::TcpListener, task};
 
-/// Most bytes of a request's or an answer's body; a configuration of thousands of routes has a
-/// few hundred KB.
+/// Maximum size of a request's or an answer's body, in bytes. A configuration of thousands of
+/// routes has a few hundred KB.
 const BODY_BYTES_MAX: usize = 4 << 20;
 
 /// Why a call failed.
--- a/src/mastweir/platform/config.rs
+++ b/src/mastweir/platform/config.rs
@@ -79,7 +79,7 @@
     /// Experts of a set that a rank can hold.
     #[serde(default)]
     places: usize,
-    /// Most experts of a set that are new to a rank in one load.
+    /// Maximum number of experts of a set that are new to a rank in one load.
     #[serde(default)]
     spare_slots: usize,
     /// Size of an expert in megabytes.
--- a/src/mastweir/platform/mod.rs
+++ b/src/mastweir/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Interface to the users' platform: its names, formats and calls.
+//! Interface to the platform on which the fleet runs: its names, formats and calls.
 //!
 //! The modules decode the platform's formats into mastweir's own types and contain no
 //! load-balancing decisions. The platform's names occur nowhere else. Where such a name
--- a/src/mastweir/platform/settings.rs
+++ b/src/mastweir/platform/settings.rs
@@ -1,4 +1,4 @@
-//! Format of the settings file of gateways and sidecars, which the users' platform writes.
+//! Format of the settings file of gateways and sidecars, which the platform writes.
 //!
 //! Unknown fields are ignored, as the platform may add some. Values out of range are rejected
 //! with an error that names the remedy.
