--- a/src/mastweir/sidecar/aggregation.rs
+++ b/src/mastweir/sidecar/aggregation.rs
@@ -1,9 +1,10 @@
 //! Data from which a sidecar answers polls: the counts of expert selections at earlier polls, and
 //! the answers of the subtree that it aggregates.
 //!
-//! A rank answers with the selections since an earlier poll ([`SelectionHistory`]). An aggregator
-//! collects such answers of its subtree, and sends their sum when all ranks have answered, on a
-//! timeout, or when the next poll begins ([`Aggregator`]).
+//! A rank answers with its expert selections since an earlier poll ([`SelectionHistory`]). An
+//! aggregator collects the answers of its subtree ([`Aggregator`]). Their sum is sent to the
+//! coordinator when all ranks have answered, after a timeout, or when the next poll begins. Counts
+//! are grouped by sets of layers; the layers of a set share one expert placement.
 
 use crate::{
     gateway::message::{Counts, Poll, RankReport, RankStatus},
@@ -14,9 +15,9 @@
     net::IpAddr,
 };
 
-/// Readings that are kept. A poll refers to the previous one.
+/// Number of polls whose counts are kept. A poll requests the selections since one of them.
 const HISTORY_LEN: usize = 4;
-/// Most counts that are accepted from other processes, to bound memory: 128 sets of 1,024
+/// Maximum counts that are accepted from other processes, to bound memory: 128 sets of 1,024
 /// experts.
 const COUNTS_MAX: usize = 1 << 17;
 
@@ -28,9 +29,9 @@
 }
 
 impl SelectionHistory {
-    /// Returns the selections since an earlier poll in the sets that the new poll requests, out
-    /// of `sets`. Empty if the earlier poll was not received here, or was before a restart of the
-    /// server or the group. Records the new reading.
+    /// Records the counts `now`, and returns the selections since the poll that `poll` names, in the
+    /// sets that it requests; the model has `sets` sets. Empty if that poll was not received here,
+    /// or was before a restart of the server or the group.
     pub fn counts_since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
         if std::mem::replace(&mut self.token, poll.token) != poll.token {
             self.entries.clear();
@@ -70,7 +71,7 @@
     waiting: HashSet<IpAddr>,
     /// The ranks that have answered.
     pub ranks: Vec<RankStatus>,
-    /// Sums of their counts.
+    /// Sums of the ranks' counts.
     pub sums: Vec<u32>,
 }
 
@@ -80,7 +81,7 @@
         Self { poll, waiting, ranks: Vec::new(), sums: Vec::new() }
     }
 
-    /// Returns whether this is for the poll with the given number.
+    /// Returns whether these answers are for the poll with the given number.
     pub const fn is_for(&self, round: u64) -> bool {
         self.poll.round == round
     }
@@ -105,8 +106,8 @@
 pub struct Aggregator(Option<Aggregation>);
 
 impl Aggregator {
-    /// Begins the aggregation for a new poll. Returns the unfinished one of the previous poll,
-    /// which should be sent: during a map change polls follow each other faster than a silent
+    /// Begins the aggregation for a new poll. Returns the unfinished aggregation of the previous
+    /// poll, which the caller sends: during a map change, the next poll arrives before a silent
     /// rank times out.
     pub fn begin(&mut self, poll: Poll, waiting: HashSet<IpAddr>) -> Option<Aggregation> {
         self.0.replace(Aggregation::new(poll, waiting))
@@ -122,15 +123,15 @@
         from: IpAddr,
         report: RankReport,
     ) -> Result<Option<Aggregation>, RankReport> {
-        let fits =
+        let matches =
             |open: &&mut Aggregation| open.is_for(report.round) && open.poll.group == report.group;
-        let Some(open) = self.0.as_mut().filter(fits) else { return Err(report) };
+        let Some(open) = self.0.as_mut().filter(matches) else { return Err(report) };
         open.add(from, report);
         let is_complete = open.is_complete();
         Ok(if is_complete { self.0.take() } else { None })
     }
 
-    /// Ends the aggregation for a poll, complete or not, and returns it. `None` if it was sent
+    /// Ends the aggregation for a poll, complete or not, and returns it. `None` if it has ended
     /// before.
     pub fn finish(&mut self, round: u64) -> Option<Aggregation> {
         self.0.take_if(|open| open.is_for(round))
--- a/src/mastweir/sidecar/coordinator.rs
+++ b/src/mastweir/sidecar/coordinator.rs
@@ -1,10 +1,10 @@
 //! The coordinator of a group: plans expert maps and puts them in force.
 //!
-//! Runs in the sidecar that holds the group's lease. Each step takes the latest states of the
-//! ranks, looks up the map in force where it is unknown, plans a better map if demand has
-//! shifted, and sends the orders that [`decide`] returns. Meanwhile gateways get forecasts of the
-//! time of a pass. Coordination ends when a higher fencing token is seen or the server leaves the
-//! group.
+//! Runs in the sidecar that holds the group's lease. The map in force is the one that all ranks
+//! use. Each step takes the latest states of the ranks, looks up the map in force if it is unknown,
+//! plans a better map for the current demand, and sends the orders that [`decide`] returns. During
+//! a map change, gateways get forecasts of the time of a pass. Coordination ends when a higher
+//! fencing token is seen or the server leaves the group.
 
 use super::{
     orders::{self, OrderContext},
@@ -45,12 +45,12 @@
 const IDLE_PERIOD: Duration = Duration::from_millis(100);
 /// Time between two steps during a map change.
 const BUSY_PERIOD: Duration = Duration::from_millis(15);
-/// A map change that has not begun to pause the group after this time is dropped, since demand
-/// has changed.
+/// Time after which a map change is dropped if it has not gone beyond loading the map, since demand
+/// may have changed.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Time between two forecasts during a map change: about one pass.
 const FORECAST_PERIOD: Duration = Duration::from_millis(80);
-/// Steps of the planner between two yields to other tasks: about half a millisecond.
+/// Steps that the planner takes before it yields to other tasks: about half a millisecond.
 const PLAN_STEPS: usize = 150;
 
 pub(super) struct Coordinator<'a> {
@@ -58,23 +58,23 @@
     pub(super) shared: &'a SharedGroup,
     /// The map in force with its version.
     pub(super) map: Option<(u64, Arc<GroupMap>)>,
-    /// The map to put in force, and since when.
+    /// The map to put in force, and when it was chosen.
     target: Option<(TargetMap, Uptime)>,
     /// Number of maps that this coordinator has chosen.
     version_count: u64,
     /// Whether a rank has refused an order because it has seen a higher fencing token.
     is_fenced: bool,
-    /// Share of orders without an answer.
+    /// Measures the share of orders without an answer.
     order_loss: OrderLoss,
     /// Whether a part of the map is inferred, since a rank could not be read.
     pub(super) is_inferred: bool,
-    /// Shifts of demand that were taken into account.
+    /// Number of demand shifts when the target was last checked.
     shifts_seen: u32,
     last_forecast: Uptime,
     forecast_count: u64,
     /// Address of the coordinator with the previous fencing token, if known.
     previous: Option<IpAddr>,
-    /// Servers whose sidecars lack the base map and need a full one.
+    /// Servers whose sidecars lack the base map of a delta, and need the full map.
     without_base: HashSet<SocketAddr>,
 }
 
@@ -100,7 +100,7 @@
         let is_busy = coordinator.step().await;
         shared.is_busy.set(is_busy);
         let wait = if is_busy { BUSY_PERIOD } else { IDLE_PERIOD };
-        // An answer of a rank ends the wait.
+        // An answer to a poll ends the wait.
         let _ = time::timeout(wait, shared.answered.notified()).await;
     }
 }
@@ -146,7 +146,7 @@
         let is_uniform = known.iter().all(|state| state.map == version);
         self.update_target(&known);
         if !is_uniform {
-            // Some states are from before a map change, some from after it.
+            // Some ranks use the map from before a change, others the one from after it.
             return true;
         }
         let is_unknown = self.map.as_ref().is_none_or(|(known, _)| *known != version);
@@ -187,7 +187,8 @@
         self.shared.state.borrow().ranks.rank_at(self.sidecar.server).unwrap_or(0)
     }
 
-    /// Returns the rank of the previous coordinator, if it is the rank that can't be reached.
+    /// Returns the first rank without a recent state, if the previous coordinator has none either:
+    /// this is then taken as the previous coordinator's rank.
     fn predecessor(&self, states: &[Option<RankState>]) -> Option<usize> {
         let previous = self.previous?;
         let is_fresh =
@@ -195,8 +196,8 @@
         if is_fresh { None } else { states.iter().position(Option::is_none) }
     }
 
-    /// Clears the target if it is in force, is outdated, or is for a demand that has shifted
-    /// since.
+    /// Clears the target once all ranks use it. Also drops a target that has not gone beyond
+    /// loading, if it is too old or demand has shifted since.
     fn update_target(&mut self, states: &[&RankState]) {
         let Some((target, since)) = &self.target else {
             self.shifts_seen = self.shift_count();
@@ -223,8 +224,8 @@
         }
     }
 
-    /// Plans a map in small parts, so that polls and answers are handled meanwhile. The plan is
-    /// discarded if demand shifts during it.
+    /// Plans a map in small parts, so that other tasks handle polls and answers in between. The
+    /// plan is discarded if demand shifts before it is complete.
     async fn plan(&mut self, states: &[&RankState]) {
         let is_idle =
             states.iter().all(|state| state.scheduled.is_none() && state.paused.is_none());
@@ -249,8 +250,8 @@
         self.set_target(Arc::new(plan.map));
     }
 
-    /// Returns the demand by set and expert, the slowdowns of the ranks, and the number of
-    /// requests at all of them. `None` until enough selections were counted.
+    /// Returns the demand by set of layers and expert, the slowdowns of the ranks, and the number of
+    /// requests at all ranks. `None` until enough selections were counted.
     fn demand(&self, ranks: usize) -> Option<(Vec<Vec<f64>>, Vec<f64>, u32)> {
         let state = self.shared.state.borrow();
         let now = self.sidecar.clock.now();
@@ -258,8 +259,8 @@
         Some((demand.by_set(), state.ranks.slowdowns(ranks), state.ranks.total_load()))
     }
 
-    /// Sends the expected time of a pass to gateways, which would measure it only some passes
-    /// later.
+    /// Sends the expected time of a pass to gateways, whose own measurements follow only some
+    /// passes later.
     fn send_forecast(&mut self, ranks: usize) {
         let now = self.sidecar.clock.now();
         if now.since(self.last_forecast) < FORECAST_PERIOD {
@@ -285,11 +286,12 @@
         self.target = Some((TargetMap { version, map }, self.sidecar.clock.now()));
     }
 
-    /// Sends orders to ranks, all at once, and records the states that they reply.
+    /// Sends orders to ranks concurrently, and records the states in the replies.
     async fn send_orders(&mut self, states: &[Option<RankState>], orders: Vec<(usize, OrderKind)>) {
         let base = self.map.as_ref().map(|(version, map)| (*version, &**map));
         let context = OrderContext { states, base, without_base: &self.without_base };
-        // If this process was suspended, the replies are as old as the orders.
+        // The replies are dated by the sending of the orders, since this process may be suspended
+        // before it reads them.
         let now = self.sidecar.clock.now();
         let loaded_version = orders.iter().find_map(|(_, kind)| match kind {
             OrderKind::Load { version, .. } => Some(*version),
--- a/src/mastweir/sidecar/election.rs
+++ b/src/mastweir/sidecar/election.rs
@@ -1,9 +1,10 @@
 //! Elects the coordinator of a group among the sidecars of its ranks.
 //!
-//! The group's lease in the store holds a fencing token, which rises with each holder. Ranks
-//! refuse orders with a lower token than they have seen, so an outdated coordinator can do no
-//! harm and the lease needs no renewal. A coordinator shows that it is alive by its polls, which
-//! gateways report as well; the store is asked only when polls are missing ([`Election`]).
+//! The group's lease in the store holds a fencing token, which rises with each holder. The lease
+//! needs no renewal: orders of an outdated coordinator do no harm, also at servers that don't check
+//! the token (see [`map_change`](mastweir_core::switch::map_change)). A coordinator shows that it
+//! is alive by its polls, of which gateways report the latest; a sidecar reads the lease only when
+//! polls are missing ([`Election`]).
 
 use super::{
     coordinator,
@@ -30,13 +31,14 @@
 
 /// Time between two checks for a coordinator.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Pause after the lease could not be taken.
+/// Delay after a failed attempt to take the lease.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Group, rank and size of the group of the local server.
 type Membership = (String, u32, u32);
 
-/// Watches for a coordinator and becomes the coordinator if there is none. Never returns.
+/// Watches for the polls of a coordinator, and becomes the coordinator if there is none. Never
+/// returns.
 pub async fn elect(sidecar: Rc<Sidecar>) {
     let Some(mut reports) = sidecar.answer_rx.borrow_mut().take() else { return };
     let mut election = Election::new(sidecar.clock.now());
@@ -52,7 +54,7 @@
             in_group.clone_from(&group);
             election = Election::new(now);
         }
-        record_sign(&sidecar, &group, &mut election);
+        record_coordinator_seen(&sidecar, &group, &mut election);
         if !election.is_due(rank, size, now) {
             continue;
         }
@@ -60,8 +62,8 @@
         if has_coordinator(&sidecar, &view) {
             continue;
         }
-        record_sign(&sidecar, &group, &mut election);
-        // The coordinator may have polled while the gateway was asked.
+        record_coordinator_seen(&sidecar, &group, &mut election);
+        // The coordinator may have polled while the request to the gateway was in progress.
         if !election.is_due(rank, size, sidecar.clock.now()) {
             continue;
         }
@@ -78,14 +80,15 @@
     }
 }
 
-fn record_sign(sidecar: &Sidecar, group: &str, election: &mut Election) {
+fn record_coordinator_seen(sidecar: &Sidecar, group: &str, election: &mut Election) {
     let known = sidecar.coordinator.borrow();
     if let Some(known) = known.as_ref().filter(|known| known.coordinates(group)) {
         election.coordinator_seen(known.token, known.seen_at);
     }
 }
 
-/// Returns whether a gateway has recently received a sign of another coordinator.
+/// Returns whether a gateway knows of a recent poll of another coordinator. Records the
+/// coordinator that the gateway reports.
 fn has_coordinator(sidecar: &Sidecar, view: &GroupView) -> bool {
     let Some(coordinator) = view.coordinator.clone() else { return false };
     let is_fresh = u128::from(coordinator.age_ms) < COORDINATOR_TIMEOUT.as_millis();
@@ -104,7 +107,7 @@
 ) {
     info!(sidecar.log, "became coordinator"; "group" => group, "token" => token);
     while reports.try_recv().is_ok() {}
-    // The address is only known if no coordinator was elected in between.
+    // The known coordinator is the previous one only if its token is the last before this one.
     let known = sidecar.coordinator.borrow().clone();
     let previous = known.filter(|known| known.coordinates(group) && known.token + 1 == token);
     let previous = previous.map(|known| known.ip);
@@ -129,8 +132,8 @@
     info!(sidecar.log, "stopped coordinating"; "group" => group, "token" => token);
 }
 
-/// Marks the members at the address of the previous coordinator as failed. As an aggregator it
-/// would delay the first orders by a timeout, while the group may be paused.
+/// Marks the members at the address of the previous coordinator as failed. If one of them were an
+/// aggregator, the first orders would wait for its timeout, while the group may be paused.
 fn mark_failed(sidecar: &Sidecar, shared: &SharedGroup, ip: IpAddr) {
     let now = sidecar.clock.now();
     let mut state = shared.state.borrow_mut();
@@ -148,8 +151,8 @@
 }
 
 /// Takes the group's lease with a higher fencing token than the last one. Returns `None` if
-/// another sidecar has taken the lease since a coordinator was last seen: its polls are about to
-/// arrive.
+/// another sidecar has taken the lease since a coordinator was last seen; the polls of that
+/// sidecar are about to arrive.
 async fn take_lease(
     sidecar: &Rc<Sidecar>,
     group: &str,
@@ -176,9 +179,9 @@
             // The write may have succeeded without an answer.
             let now = sidecar.store.lease(&name).await?;
             let is_ours = |now: &StoredLease| now.epoch == token && now.holder == sidecar.name;
-            let ours =
+            let is_taken =
                 now.generation == read.generation && now.stored.as_ref().is_some_and(is_ours);
-            if ours { Ok(Some(token)) } else { Err(error.into()) }
+            if is_taken { Ok(Some(token)) } else { Err(error.into()) }
         }
         Err(error) => Err(error),
     }
@@ -192,8 +195,8 @@
     }
 }
 
-/// Returns the name of a group's lease, in which other characters than ASCII letters, digits and
-/// `-` are replaced.
+/// Returns the name of a group's lease: the group's name, in which characters other than ASCII
+/// letters, digits and `-` are replaced.
 fn lease_name(group: &str) -> String {
     let safe = |char: char| if char.is_ascii_alphanumeric() || char == '-' { char } else { '-' };
     group.chars().map(safe).collect()
--- a/src/mastweir/sidecar/order_executor.rs
+++ b/src/mastweir/sidecar/order_executor.rs
@@ -27,7 +27,7 @@
 const ATTEMPTS_MAX: u32 = 4;
 
 /// Handles a call of another sidecar. Returns the encoded answer, or `None` for an unknown path,
-/// a malformed body or data that is not there.
+/// a malformed body, or data that this sidecar lacks.
 pub async fn handle_call(sidecar: &Sidecar, path: &str, body: &[u8]) -> Option<Vec<u8>> {
     match path {
         "/orders" => {
--- a/src/mastweir/sidecar/orders.rs
+++ b/src/mastweir/sidecar/orders.rs
@@ -56,7 +56,7 @@
     order: Order,
 }
 
-/// Sends orders to ranks, all at once, and returns their replies.
+/// Sends orders to ranks concurrently, and returns their replies.
 pub async fn send_orders(
     sidecar: &Sidecar,
     shared: &SharedGroup,
--- a/src/mastweir/sidecar/rank_views.rs
+++ b/src/mastweir/sidecar/rank_views.rs
@@ -270,6 +270,6 @@
     let slowdown_milli = state.as_ref().map_or(1_000, |state| state.slowdown_milli);
     let incarnation = state.as_ref().map_or(0, |state| state.incarnation);
     let state = state.and_then(|state| state.rank);
-    // The receiver may be gone: the coordinator may have ended meanwhile.
+    // The coordinator, which receives the result, may have ended.
     let _ = result_tx.send(QueryResult { server, at, state, slowdown_milli, incarnation });
 }
--- a/src/mastweir/sidecar/server_watch.rs
+++ b/src/mastweir/sidecar/server_watch.rs
@@ -149,8 +149,8 @@
 
 fn handle_relay_hello(sidecar: &Sidecar, hello: RelayHello, from: IpAddr) {
     let now = sidecar.clock.now();
-    // A relay that is leaving still serves streams. Without reports it would exclude all servers
-    // and cut them. It expires when its announcements end.
+    // A relay that is leaving still serves streams. Without reports, the relay would exclude all
+    // servers and cut the streams. It stops getting reports some time after its last announcement.
     if sidecar.relays.borrow_mut().refresh(from, now) {
         info!(sidecar.log, "relay gateway found"; "peer" => %from);
     }
