--- a/src/mastweir/agent/answer.rs
+++ b/src/mastweir/agent/answer.rs
@@ -1,9 +1,9 @@
 //! Buffer of an answer, with one writer and any number of readers.
 //!
 //! The call to the engine writes the answer in chunks, and the channel that submitted the request
-//! reads them. The answer of an at-most-once operation can be joined: other channels that submit the
-//! same operation read the answer from any chunk, so all chunks are kept, up to a limit. The chunks
-//! of other answers are dropped once read, and a slow reader delays the writer.
+//! reads them. The answer of an at-most-once operation can be joined: other channels that submit
+//! the same operation read the answer from any chunk, so all chunks are kept, up to a limit. The
+//! chunks of other answers are dropped once read, and a slow reader delays the writer.
 
 use bytes::Bytes;
 use mastweir_core::{outcome::Refusal, wire::RequestCost};
--- a/src/mastweir/agent/jobs.rs
+++ b/src/mastweir/agent/jobs.rs
@@ -165,9 +165,9 @@
         finish(&mut state, job, end);
     }
 
-    /// Withdraws a request that the entry has cancelled (`cancel`), or whose entry has disconnected. A running
-    /// at-most-once operation continues after a disconnect, so that a later submission gets its
-    /// answer.
+    /// Withdraws a request that the entry has cancelled (`cancel`), or whose entry has
+    /// disconnected. A running at-most-once operation continues after a disconnect, so that a later
+    /// submission gets its answer.
     pub fn abandon(&self, job: &Job, cancel: bool) {
         let mut state = self.lock();
         let is_same = |entry: &QueuedRequest<CustomerTag, Arc<Job>>| {
--- a/src/mastweir/agent/serve.rs
+++ b/src/mastweir/agent/serve.rs
@@ -1,8 +1,8 @@
 //! Serves the channels of entries: receives requests and rank orders, and sends answers.
 //!
-//! A rank order is an order of the group's coordinator to one of its ranks, and is forwarded to the
-//! engine. A channel carries one exchange at a time: a request with its answer, or a rank order with
-//! its reply.
+//! A rank order is an order of the group's coordinator to one of its ranks, and is forwarded to
+//! the engine. A channel carries one exchange at a time: a request with its answer, or a rank order
+//! with its reply.
 
 use super::{
     Shared,
--- a/src/mastweir/entry/admit.rs
+++ b/src/mastweir/entry/admit.rs
@@ -32,7 +32,7 @@
     customers: HashMap<String, CustomerUsage>,
 }
 
-/// An admitted request. Dropping the guard no longer counts the request towards the limits.
+/// An admitted request, which counts towards the customer's limits until the guard is dropped.
 #[derive(Debug)]
 pub struct AdmissionGuard {
     shared: Arc<Shared>,
--- a/src/mastweir/sidecar/aggregation.rs
+++ b/src/mastweir/sidecar/aggregation.rs
@@ -29,9 +29,9 @@
 }
 
 impl SelectionHistory {
-    /// Records the counts `now`, and returns the selections since the poll that `poll` names, in the
-    /// sets that it requests; the model has `sets` sets. Empty if that poll was not received here,
-    /// or was before a restart of the server or the group.
+    /// Records the counts `now`, and returns the selections since the earlier poll that `poll`
+    /// names, in the sets that `poll` requests, of all `sets`. Empty if the earlier poll was not
+    /// received here, or was before a restart of the server or the group.
     pub fn counts_since(&mut self, poll: &Poll, now: Selections, sets: usize) -> Vec<u32> {
         if std::mem::replace(&mut self.token, poll.token) != poll.token {
             self.entries.clear();
--- a/src/mastweir/sidecar/coordinator.rs
+++ b/src/mastweir/sidecar/coordinator.rs
@@ -250,8 +250,8 @@
         self.set_target(Arc::new(plan.map));
     }
 
-    /// Returns the demand by set of layers and expert, the slowdowns of the ranks, and the number of
-    /// requests at all ranks. `None` until enough selections were counted.
+    /// Returns the demand by set of layers and expert, the slowdowns of the ranks, and the number
+    /// of requests at all ranks. `None` until enough selections were counted.
     fn demand(&self, ranks: usize) -> Option<(Vec<Vec<f64>>, Vec<f64>, u32)> {
         let state = self.shared.state.borrow();
         let now = self.sidecar.clock.now();
