--- a/crates/mastweir-core/src/outcome/call.rs
+++ b/crates/mastweir-core/src/outcome/call.rs
@@ -99,7 +99,7 @@
     Over,
 }
 
-/// State of one call. See the [module](self).
+/// State of one call. See the module.
 ///
 /// ```
 /// use mastweir_core::{
--- a/crates/mastweir-core/src/route/budget.rs
+++ b/crates/mastweir-core/src/route/budget.rs
@@ -15,7 +15,7 @@
 /// Maximum balance, in thousandths of a retry.
 const BALANCE_MAX_MILLI: u64 = 20_000;
 
-/// A retry budget. See the [module](self).
+/// A retry budget. See the module.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     balance_milli: u64,
--- a/crates/mastweir-model/src/lib.rs
+++ b/crates/mastweir-model/src/lib.rs
@@ -8,7 +8,7 @@
 //! a seed gives the same run each time.
 //!
 //! A run is a [`Scenario`], from a file or drawn from a seed; [`run`] plays it, and what the
-//! servers saw is checked by the same records as in the soak. [`shrink`] finds the least
+//! servers saw is checked by the same records as in the soak. [`fn@shrink`] finds the least
 //! scenario that still breaks a promise.
 //!
 //! Not played: the store, rank groups, sidecars, streams and their taking up, bodies and the
--- a/src/mastweir/agent/mod.rs
+++ b/src/mastweir/agent/mod.rs
@@ -3,7 +3,7 @@
 //! Entries open channels to the agent and submit requests. The agent queues them fairly by
 //! customer ([`FairQueue`]), runs operations that must not be repeated at most once
 //! ([`DedupTable`]), and calls the engine or plain service over HTTP. The answer is buffered
-//! ([`answer::Answer`]) for the channel that submitted the request and for any later channel that
+//! (`answer::Answer`) for the channel that submitted the request and for any later channel that
 //! submits the same operation. The platform is needed only to read the epoch of the rank group's
 //! lease.
 //!
--- a/src/mastweir/entry/mod.rs
+++ b/src/mastweir/entry/mod.rs
@@ -1,11 +1,11 @@
 //! The entry: accepts callers' HTTP requests and sends them to the agents of servers.
 //!
-//! A request passes through these modules: [`http`] parses it and authenticates its customer;
-//! [`admit`] applies the customer's limits; [`calls`] carries out the actions of a [`Call`], for
-//! which [`view`] chooses servers. The answer is returned when it is complete, or streamed.
+//! A request passes through these modules: `http` parses it and authenticates its customer;
+//! `admit` applies the customer's limits; `calls` carries out the actions of a [`Call`], for
+//! which `view` chooses servers. The answer is returned when it is complete, or streamed.
 //!
-//! Background tasks keep the state that requests need: [`table`] (rows), [`fleet`] (instances,
-//! membership and load reports), [`usage`] (fleet-wide shares) and [`groups`] (coordination of
+//! Background tasks keep the state that requests need: `table` (rows), `fleet` (instances,
+//! membership and load reports), `usage` (fleet-wide shares) and `groups` (coordination of
 //! rank groups). Entries store nothing on disk. What a later submission of the same request needs
 //! is kept by agents, in tickets and in the object API.
 //!
