--- a/src/mastweir/gateway/stream.rs
+++ b/src/mastweir/gateway/stream.rs
@@ -250,10 +250,8 @@
             }
             let tried = &self.progress.tried;
             let until = self.gateway.clock.now() + RESUME_TIMEOUT.min(self.call.time_left());
-            let requirements = self.call.requirements(tried, RESUME_MAX_LOAD);
-            let Ok(server) = choose_until(&self.gateway, requirements, until).await else {
-                return false;
-            };
+            let needs = self.call.requirements(tried, RESUME_MAX_LOAD);
+            let Ok(server) = choose_until(&self.gateway, needs, until).await else { return false };
             let last = self.events.last_id().map(str::to_owned);
             let answered =
                 attempt(&self.gateway, &self.call, server, last.as_deref(), &mut self.progress);
--- a/src/mastweir/platform/engine.rs
+++ b/src/mastweir/platform/engine.rs
@@ -24,8 +24,8 @@
 /// Far larger than the counts and maps of large models.
 const ANSWER_BYTES_MAX: usize = 1 << 20;
 
-/// Maximum number of ranks of a group. Memory use grows with the number, so the rank in a report of a
-/// larger group is ignored.
+/// Maximum number of ranks of a group. Memory use grows with the number, so the rank in a report
+/// of a larger group is ignored.
 const RANKS_MAX: u32 = 4_096;
 
 /// Why a call to a model server failed.
